--- a/include/robinfold/policy.h
+++ b/include/robinfold/policy.h
@@ -20,9 +20,28 @@
 enum class ReportMode { none, answers, probe };    // how load reports arrive
 enum class WorkerState { gone, draining, ready };
 enum class ListKind { delta, cached, failed, full };
-enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, moot, miss };
+// The last two never come over the simulator's wire:
+// not_sent: a fault of this machine (no descriptor, port or connection to be had) kept it from leaving; it
+// says
+//   nothing of the worker.
+// unreachable: the network gave up on the connection (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH) after the attempt
+//   had left; it may have run, and the worker's process may be well.
+enum class Outcome {
+  ok,
+  error,
+  full,
+  timeout,
+  connect_failed,
+  reset,
+  cancelled,
+  moot,
+  miss,
+  not_sent,
+  unreachable
+};
 inline bool proves_never_ran(Outcome o) {  // as the wire states it
-  return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::moot || o == Outcome::miss;
+  return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::moot || o == Outcome::miss ||
+         o == Outcome::not_sent;
 }
 enum class ReportField { inflight, queue, utilisation, latency_ms, rate, errors, pinned, loading, other };
 enum class Warmth { untold, stood, began, waited, load_failed };  // what an answer says of the copy
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -1,12 +1,12 @@
 #include "net/buffer.h"
 
-#include <sys/socket.h>
-
 #include <algorithm>
 #include <cerrno>
 #include <cstring>
 #include <utility>
 
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 
 BufferPool::Lease BufferPool::take(const Outbox& asker) {
@@ -67,7 +67,7 @@
 Outbox::Written Outbox::write_to(int fd) {
   while (!blocks_.empty()) {
     const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
-    const ssize_t sent = ::send(fd, blocks_.front()->data() + head_, end - head_, MSG_NOSIGNAL);
+    const ssize_t sent = system_calls().send(fd, blocks_.front()->data() + head_, end - head_);
     if (sent < 0) {
       if (errno == EINTR) continue;
       return errno == EAGAIN || errno == EWOULDBLOCK ? Written::some : Written::broken;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,6 +5,8 @@
 #include <chrono>
 #include <cmath>
 
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 namespace {
 
@@ -71,7 +73,7 @@
     polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials_.push_back(by_fd_[fd].serial);
   }
-  const int found = ::poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
+  const int found = system_calls().poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
   turn_began_ = now();
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -10,9 +10,13 @@
 #include <cerrno>
 #include <memory>
 
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 namespace {
 
+constexpr int kBacklog = 512;  // connections that the kernel accepts ahead of the program
+
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
 Addresses resolve(const std::string& address, int flags) {
@@ -43,26 +47,28 @@
 Socket listen_on(const std::string& address) {
   const Addresses at = resolve(address, AI_PASSIVE);
   if (!at) return Socket();
-  Socket socket(::socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
   if (!socket) return Socket();
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0 || listen(socket.fd(), 512) != 0) return Socket();
+  if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return Socket();
+  if (system_calls().listen(socket.fd(), kBacklog) != 0) return Socket();
   return socket;
 }
 
 Socket connect_to(const std::string& address) {
   const Addresses at = resolve(address, 0);
   if (!at) return Socket();
-  Socket socket(::socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return Socket();
   no_delay(socket.fd());
-  if (connect(socket.fd(), at->ai_addr, at->ai_addrlen) != 0 && errno != EINPROGRESS) return Socket();
+  const int result = system_calls().connect(socket.fd(), at->ai_addr, at->ai_addrlen);
+  if (result != 0 && errno != EINPROGRESS) return Socket();
   return socket;
 }
 
 Socket accept_from(const Socket& listener, bool* exhausted) {
-  Socket socket(accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  Socket socket(system_calls().accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (exhausted != nullptr) *exhausted = !socket && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS);
   if (socket) no_delay(socket.fd());
   return socket;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -1,9 +1,9 @@
 #include "net/stream.h"
 
-#include <sys/socket.h>
-
 #include <cerrno>
 
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 namespace {
 
@@ -90,7 +90,7 @@
 void Stream::read() {
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsATurn && socket_ && !ending_; ++i) {
-    const ssize_t got = ::recv(socket_.fd(), block.data(), block.size(), 0);
+    const ssize_t got = system_calls().receive(socket_.fd(), block.data(), block.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (got <= 0) return end();
--- /dev/null
+++ b/src/net/system_calls.h
@@ -0,0 +1,42 @@
+// The system calls of the network code, behind an interface that a test can replace by one that fails.
+#pragma once
+
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <cstddef>
+
+namespace lotusyard::net {
+
+/// The calls of the kernel that sockets and the event loop make. The methods have the arguments, results and
+/// `errno` of the system calls whose names they bear. The default implementation passes them to the kernel.
+class SystemCalls {
+ public:
+  virtual ~SystemCalls() = default;
+  virtual int socket(int domain, int type, int protocol);
+  virtual int bind(int fd, const sockaddr* address, socklen_t size);
+  virtual int listen(int fd, int backlog);
+  virtual int connect(int fd, const sockaddr* address, socklen_t size);
+  virtual int accept(int fd, int flags);
+  virtual ssize_t receive(int fd, void* buffer, std::size_t size);
+  virtual ssize_t send(int fd, const void* bytes, std::size_t size);
+  virtual int shutdown(int fd, int how);
+  virtual int poll(pollfd* descriptors, nfds_t count, int timeout_ms);
+};
+
+/// The calls in use: the kernel's, unless a `ScopedSystemCalls` is alive.
+SystemCalls& system_calls();
+
+/// Replaces the calls in use for its lifetime; for tests. Not thread-safe, may be nested.
+class ScopedSystemCalls {
+ public:
+  explicit ScopedSystemCalls(SystemCalls& calls);
+  ~ScopedSystemCalls();
+  ScopedSystemCalls(const ScopedSystemCalls&) = delete;
+  ScopedSystemCalls& operator=(const ScopedSystemCalls&) = delete;
+
+ private:
+  SystemCalls* previous_;
+};
+
+}  // namespace lotusyard::net
