--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -205,12 +205,12 @@
 
 // Carries out what is due by now; true once the program may end.
 bool Invoker::shutdown_done(Millis now) {
-  if (!shutdown_.listens(now)) front_.stop_listening();
+  const bool listener_closed = !shutdown_.listens(now) && front_.stop_listening();
   if (shutdown_.answers_due(now)) dispatcher_.end_all();
   const bool clients_served = front_.open_calls() == 0 && !front_.reading() && front_.written();
   const bool triggers_served = !triggers_ || triggers_->done();
   const bool all_served = clients_served && triggers_served;
-  return (all_served && !shutdown_.requests_come(now)) || shutdown_.over(now);
+  return (listener_closed && all_served && !shutdown_.requests_come(now)) || shutdown_.over(now);
 }
 
 void Invoker::log_status() {
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -37,6 +37,27 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
+// accept(2) also passes on network errors that were already pending on the new connection. An error that is
+// not known counts as the listener's, as a retry at once could spin.
+AcceptStatus accept_failure(int error) {
+  switch (error) {
+    case EAGAIN: return AcceptStatus::none_waiting;
+    case EINTR:
+    case ECONNABORTED:
+    case EPROTO:
+    case EPERM:
+    case ENETDOWN:
+    case ENOPROTOOPT:
+    case EHOSTDOWN:
+    case ENONET:
+    case EHOSTUNREACH:
+    case EOPNOTSUPP:
+    case ENETUNREACH:
+    case ETIMEDOUT: return AcceptStatus::connection_failed;
+    default: return AcceptStatus::retry_later;
+  }
+}
+
 }  // namespace
 
 void Socket::close() {
@@ -67,11 +88,11 @@
   return socket;
 }
 
-Socket accept_from(const Socket& listener, bool* exhausted) {
+AcceptResult accept_from(const Socket& listener) {
   Socket socket(system_calls().accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (exhausted != nullptr) *exhausted = !socket && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS);
-  if (socket) no_delay(socket.fd());
-  return socket;
+  if (!socket) return {accept_failure(errno), Socket()};
+  no_delay(socket.fd());
+  return {AcceptStatus::accepted, std::move(socket)};
 }
 
 int pending_error(const Socket& socket) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -30,8 +30,21 @@
 // Numeric addresses only, as host:port or [host]:port. A failed call gives an empty Socket.
 Socket listen_on(const std::string& address);
 Socket connect_to(const std::string& address);  // under way: writable once it is decided
-// `exhausted` tells that no descriptor was to be had: the connection waits on.
-Socket accept_from(const Socket& listener, bool* exhausted = nullptr);
+
+/// What one accept(2) came to.
+enum class AcceptStatus {
+  accepted,
+  none_waiting,
+  connection_failed,  // the error belongs to that connection: the next one can be accepted at once
+  retry_later,        // no descriptor or memory: the connection stays in the kernel's queue
+};
+
+struct AcceptResult {
+  AcceptStatus status = AcceptStatus::none_waiting;
+  Socket socket;  // empty unless `status` is accepted
+};
+
+AcceptResult accept_from(const Socket& listener);
 int pending_error(const Socket& socket);  // of a connect that was decided
 std::string bound_address(const Socket& listener);
 bool valid_address(const std::string& address);
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -13,9 +13,16 @@
 
 constexpr std::uint64_t kLongestAllow = std::uint64_t{3600} * 1000;
 constexpr std::size_t kAcceptsATurn = 64;
+constexpr int kMaxAcceptTurnsAtStop = 16;  // of kAcceptsATurn each: more than the kernel's queue holds
+constexpr core::Millis kMinAcceptBackoff{10}, kMaxAcceptBackoff{500};
 constexpr std::size_t kFaultsMost = 64;        // calls of one connection that were turned away unread
 constexpr std::size_t kUnreadMost = 1U << 20;  // answers that a client has not read
 
+// False: the next accept has to wait for a connection, or for a descriptor.
+bool may_have_more(net::AcceptStatus status) {
+  return status == net::AcceptStatus::accepted || status == net::AcceptStatus::connection_failed;
+}
+
 }  // namespace
 
 class Front::Client final : public net::Stream {
@@ -103,6 +110,7 @@
     : loop_(loop), pool_(pool), dispatcher_(dispatcher), counters_(counters), limits_(limits) {}
 
 Front::~Front() {
+  loop_.cancel(accept_timer_);
   if (listener_) loop_.forget(listener_.fd(), *this);
 }
 
@@ -112,12 +120,16 @@
   return static_cast<bool>(listener_);
 }
 
-void Front::stop_listening() {
-  if (!listener_) return;
-  // Danger: a connection that the kernel has accepted may hold a whole request; closing here would lose it.
-  while (accept_some()) {}
+// A connection that the kernel has accepted may hold a whole request, which a close here would lose.
+bool Front::stop_listening() {
+  if (!listener_) return true;
+  auto status = net::AcceptStatus::accepted;
+  for (int i = 0; i < kMaxAcceptTurnsAtStop && may_have_more(status); ++i) status = accept_some();
+  if (status != net::AcceptStatus::none_waiting) return false;
+  loop_.cancel(accept_timer_);
   loop_.forget(listener_.fd(), *this);
   listener_.close();
+  return true;
 }
 
 bool Front::written() const {
@@ -175,29 +187,42 @@
 
 void Front::ready(short) { accept_some(); }
 
-// True if more may wait.
-bool Front::accept_some() {
-  for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
-    bool exhausted = false;
-    net::Socket socket = net::accept_from(listener_, &exhausted);
-    if (exhausted) {
-      counters_.add("resp.no_descriptor");
-      pause_listening();
-      return false;
-    }
-    if (!socket) return false;
+// Gives the status of its last accept.
+net::AcceptStatus Front::accept_some() {
+  auto status = net::AcceptStatus::accepted;
+  for (std::size_t i = 0; i < kAcceptsATurn && may_have_more(status); ++i) {
+    net::AcceptResult result = net::accept_from(listener_);
+    status = result.status;
+    if (status == net::AcceptStatus::connection_failed) counters_.add("resp.accept_failed");
+    if (status != net::AcceptStatus::accepted) continue;
     counters_.add("resp.connections");
-    newcomers_.push_back(std::make_shared<Client>(*this, std::move(socket)));
+    accept_backoff_ = core::Millis(0);
+    newcomers_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
     newcomers_.back()->place = std::prev(newcomers_.end());
     bound_newcomers();
   }
-  return true;
+  if (status == net::AcceptStatus::retry_later) {
+    counters_.add("resp.no_descriptor");
+    pause_listening();
+  }
+  return status;
 }
 
-// Danger: a listener that stays readable would spin the loop. It is looked at again once a client has gone.
+// A listener that stays readable would spin the loop. The shortage may be the machine's, with no client here
+// that could end it: a timer resumes, or the next client that goes.
 void Front::pause_listening() {
+  if (paused_) return;
   paused_ = true;
   loop_.forget(listener_.fd(), *this);
+  accept_backoff_ = std::min(std::max(accept_backoff_ * 2, kMinAcceptBackoff), kMaxAcceptBackoff);
+  accept_timer_ = loop_.at(loop_.now() + accept_backoff_, [this] { resume_listening(); });
+}
+
+void Front::resume_listening() {
+  if (!paused_ || !listener_) return;
+  paused_ = false;
+  loop_.cancel(accept_timer_);
+  loop_.watch(listener_.fd(), *this, POLLIN);
 }
 
 void Front::take(Client& client, Words&& words) {
@@ -341,10 +366,7 @@
   for (const auto id : left) unfile(id);
   for (const auto id : left) dispatcher_.leave(id);
   loop_.defer_destruction(kept);
-  if (paused_ && listener_) {
-    paused_ = false;
-    loop_.watch(listener_.fd(), *this, POLLIN);
-  }
+  resume_listening();
 }
 
 }  // namespace lotusyard::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -31,7 +31,9 @@
   bool listen(const std::string& address);
   std::string address() const { return net::bound_address(listener_); }
   void drain() { draining_ = true; }  // CHECK says DOWN from now on; calls are still taken
-  void stop_listening();
+  /// Accepts what waits in the kernel's queue, then closes the listener. False while connections that cannot
+  /// be accepted yet may wait there: to be called again.
+  bool stop_listening();
   std::size_t open_calls() const { return by_call_.size(); }
   bool written() const;  // nothing waits to be written
   bool reading() const;  // a request has come in part
@@ -55,15 +57,19 @@
   Clients clients_, newcomers_;  // the one longest unheard first
   std::unordered_map<core::CallId, Filed> by_call_;
   std::size_t bodies_ = 0;
-  bool draining_ = false, paused_ = false;
+  bool draining_ = false;
+  bool paused_ = false;  // the listener is not watched until `accept_timer_` rings or a client goes
+  net::Loop::TimerId accept_timer_{};
+  core::Millis accept_backoff_{0};
 
   void ready(short events) override;
   bool promote(Client& client);
   void turn_away(Client& client, const std::vector<Words>& commands);
   void bound_newcomers();
-  bool accept_some();
+  net::AcceptStatus accept_some();
   void shed(const std::shared_ptr<Client>& client, const char* why);
   void pause_listening();
+  void resume_listening();
   void take(Client& client, Words&& words);
   void call(Client& client, Words&& words);
   void reject(Client& client, const std::string& tag, const char* why,
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -576,7 +576,7 @@
   exec(0xa, 32U << 20);  // more than the kernel takes for a peer that does not read
   exec(0xb, 1);
   REQUIRE(world.turn_until([&] { return world.counters.value("hosts.links_up") == 1; }, 20000));
-  const net::Socket peer = net::accept_from(listener);
+  const net::Socket peer = net::accept_from(listener).socket;
   REQUIRE(static_cast<bool>(peer));
   world.turn();
   tell(robinfold::WorkerState::draining);
--- a/tests/lotusyard/support/server.h
+++ b/tests/lotusyard/support/server.h
@@ -31,8 +31,11 @@
   const std::string& address() const { return address_; }
   std::list<std::shared_ptr<Peer>> peers;
   void ready(short) override {
-    while (net::Socket socket = net::accept_from(listener_)) {
-      peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(socket)));
+    while (true) {
+      net::AcceptResult result = net::accept_from(listener_);
+      if (result.status == net::AcceptStatus::connection_failed) continue;
+      if (result.status != net::AcceptStatus::accepted) return;
+      peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(result.socket)));
     }
   }
   void gone(Peer& peer) {
