--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -12,8 +12,10 @@
 
 using core::Millis;
 
-constexpr Millis kStatusInterval{5000};      // of the log's status lines
-constexpr Millis kShutdownInterval{20};      // of looks at whether the end has come
+constexpr Millis kStatusInterval{5000};  // of the log's status lines
+constexpr Millis kShutdownInterval{20};  // of looks at whether the end has come
+constexpr Millis kListenRetryFor{5000};  // while the listener cannot be opened for a moment
+constexpr Millis kListenRetryPause{100};
 constexpr std::size_t kOwnDescriptors = 20;  // standard streams, the listener, the change log and the like
 
 std::string environment(const char* name) {
@@ -89,6 +91,7 @@
   fleet_.attach(dispatcher_);
   start_membership();
   start_listening();
+  if (ended_) return;
   start_triggers();
   next_status_ = loop_.now() + kStatusInterval;
 }
@@ -139,12 +142,34 @@
 
 void Invoker::start_listening() {
   if (config_.listen.empty()) return;
-  if (!front_.listen(config_.listen)) {
-    throw config::ConfigError("configuration: listen: cannot listen on " + config_.listen);
+  const Millis give_up = loop_.now() + kListenRetryFor;
+  bool reported = false;
+  while (!front_.listen(config_.listen)) {
+    const std::error_code error = front_.listen_error();
+    const std::string fault = "cannot listen on " + config_.listen + ": " + error.message();
+    if (!net::is_transient_listen_error(error) || loop_.now() >= give_up) {
+      throw config::ConfigError("configuration: listen: " + fault);
+    }
+    if (!std::exchange(reported, true)) errors_.write_line("lotusyard: " + fault + "; retrying");
+    if (!run_until(loop_.now() + kListenRetryPause)) {
+      ended_ = true;
+      return;
+    }
   }
   log_.write_line("lotusyard " + config_.name + " listens on " + front_.address());
 }
 
+// Serves the membership and the signals meanwhile. False, at once, if the program is to end.
+bool Invoker::run_until(Millis end) {
+  while (loop_.now() < end) {
+    loop_.turn(std::min(end, dispatcher_.next_due()), [this] { dispatcher_.tick(); });
+    log_.flush();
+    errors_.flush();
+    if (serve_signals()) return false;
+  }
+  return true;
+}
+
 void Invoker::start_triggers() {
   if (!config_.amqp) return;
   const amqp::Front::Limits limits{config_.amqp->open_calls, config_.amqp->remembered,
@@ -173,7 +198,16 @@
   }
 }
 
+// True if the program is to end.
+bool Invoker::serve_signals() {
+  const Signals signals = signals_.take();
+  if (signals.print_counters) log_counters();
+  if (signals.reload) reload();
+  return signals.terminate;
+}
+
 void Invoker::run() {
+  if (ended_) return;
   while (true) {
     Millis due = std::min(dispatcher_.next_due(), next_status_);
     if (loop_.now() >= next_status_) log_status();
@@ -181,11 +215,9 @@
     loop_.turn(due, [this] { dispatcher_.tick(); });
     log_.flush();
     errors_.flush();
-    const Signals signals = signals_.take();
-    if (signals.print_counters) log_counters();
-    if (signals.reload) reload();
+    const bool terminate = serve_signals();
     const Millis now = loop_.now();
-    if (signals.terminate && !shutdown_.begun()) begin_shutdown(now);
+    if (terminate && !shutdown_.begun()) begin_shutdown(now);
     if (shutdown_.begun() && shutdown_done(now)) break;
   }
   if (triggers_) triggers_->close();
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -28,7 +28,7 @@
 class Invoker {
  public:
   /// Reads the configuration file and starts all parts. Throws config::ConfigError, which names the faulty
-  /// key.
+  /// key. Takes some seconds while the listener cannot be opened for a moment.
   explicit Invoker(std::string config_file);
 
   /// Runs until a SIGTERM has been carried out.
@@ -50,6 +50,7 @@
   std::optional<xds::HostFile> host_file_;
   std::optional<amqp::Front> triggers_;
   core::Millis next_status_{0};
+  bool ended_ = false;  // told to end before it could listen: nothing was taken that would need an answer
 
   /// A quarter of the memory limit, in bytes: the bound on what waits unwritten, on the bodies of open calls,
   /// and on one line of the change log.
@@ -57,7 +58,10 @@
 
   feed::Log take_known_events();
   void start_membership();
+  /// Retries an error that may be over in a moment; throws config::ConfigError for any other.
   void start_listening();
+  bool run_until(core::Millis end);
+  bool serve_signals();
   void start_triggers();
   void update_members(const core::MemberList& list, core::ListKind kind);
   void reload();
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -37,6 +37,8 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
+std::error_code last_error() { return {errno, std::generic_category()}; }
+
 // accept(2) also passes on network errors that were already pending on the new connection. An error that is
 // not known counts as the listener's, as a retry at once could spin.
 AcceptStatus accept_failure(int error) {
@@ -65,16 +67,32 @@
   fd_ = -1;
 }
 
-Socket listen_on(const std::string& address) {
+ListenResult listen_on(const std::string& address) {
   const Addresses at = resolve(address, AI_PASSIVE);
-  if (!at) return Socket();
+  if (!at) return {Socket(), std::make_error_code(std::errc::invalid_argument)};
   Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!socket) return {Socket(), last_error()};
   const int on = 1;
-  if (!socket) return Socket();
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return Socket();
-  if (system_calls().listen(socket.fd(), kBacklog) != 0) return Socket();
-  return socket;
+  if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return {Socket(), last_error()};
+  if (system_calls().listen(socket.fd(), kBacklog) != 0) return {Socket(), last_error()};
+  return {std::move(socket), {}};
+}
+
+bool is_transient_listen_error(const std::error_code& error) {
+  switch (error.value()) {
+    case EINTR:
+    case EAGAIN:
+    case EMFILE:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+    case EADDRINUSE:
+    case EADDRNOTAVAIL:
+    case ENETDOWN:
+    case ENETUNREACH: return true;
+    default: return false;
+  }
 }
 
 Socket connect_to(const std::string& address) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <string>
+#include <system_error>
 #include <utility>
 
 namespace lotusyard::net {
@@ -27,8 +28,17 @@
   int fd_ = -1;
 };
 
-// Numeric addresses only, as host:port or [host]:port. A failed call gives an empty Socket.
-Socket listen_on(const std::string& address);
+struct ListenResult {
+  Socket socket;          // empty on an error
+  std::error_code error;  // of socket(2), bind(2) or listen(2); invalid_argument for a faulty address
+};
+
+// Numeric addresses only, as host:port or [host]:port.
+ListenResult listen_on(const std::string& address);
+/// True for an error of listen_on that may be over in a moment: a lack of descriptors or memory, or an
+/// address that is still in use or not yet configured.
+bool is_transient_listen_error(const std::error_code& error);
+/// A failed call gives an empty Socket.
 Socket connect_to(const std::string& address);  // under way: writable once it is decided
 
 /// What one accept(2) came to.
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -115,7 +115,9 @@
 }
 
 bool Front::listen(const std::string& address) {
-  listener_ = net::listen_on(address);
+  net::ListenResult result = net::listen_on(address);
+  listener_ = std::move(result.socket);
+  listen_error_ = result.error;
   if (listener_) loop_.watch(listener_.fd(), *this, POLLIN);
   return static_cast<bool>(listener_);
 }
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -4,6 +4,7 @@
 #include <list>
 #include <memory>
 #include <string>
+#include <system_error>
 #include <unordered_map>
 
 #include "core/counters.h"
@@ -28,7 +29,9 @@
         Limits limits);
   ~Front() override;
 
+  /// False if it failed, by `listen_error`; may be called again then.
   bool listen(const std::string& address);
+  const std::error_code& listen_error() const { return listen_error_; }
   std::string address() const { return net::bound_address(listener_); }
   void drain() { draining_ = true; }  // CHECK says DOWN from now on; calls are still taken
   /// Accepts what waits in the kernel's queue, then closes the listener. False while connections that cannot
@@ -53,6 +56,7 @@
   core::Counters& counters_;
   Limits limits_;
   net::Socket listener_;
+  std::error_code listen_error_;
   using Clients = std::list<std::shared_ptr<Client>>;
   Clients clients_, newcomers_;  // the one longest unheard first
   std::unordered_map<core::CallId, Filed> by_call_;
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -554,7 +554,7 @@
 
 // Failure found in review: what waited unread for a host left up to 1 s after it was told draining.
 TEST_CASE("a call that a host told draining has not read is not sent once the grace is over") {
-  const net::Socket listener = net::listen_on("127.0.0.1:0");
+  const net::Socket listener = net::listen_on("127.0.0.1:0").socket;
   World world(0);
   const auto tell = [&](robinfold::WorkerState state) {
     core::MemberList list;
--- a/tests/lotusyard/process_test.cpp
+++ b/tests/lotusyard/process_test.cpp
@@ -243,5 +243,49 @@
   CHECK(site.host.drops == 1);
 }
 
+// Starts a program whose address is in use, and waits until it has said so.
+void start_with_address_in_use(Site& site, const net::Socket& holder) {
+  site.config["listen"] = net::bound_address(holder);
+  site.file.write(site.config);
+  site.program.emplace(site.file.path());
+  const std::string fault = "cannot listen on " + net::bound_address(holder) + ": Address already in use";
+  REQUIRE(site.turn_until([&] { return site.program->log().find(fault) != std::string::npos; }));
+}
+
+TEST_CASE("an address that is in use for a moment at the start is retried until it is free") {
+  Site site(1000);
+  net::Socket holder = net::listen_on("127.0.0.1:0").socket;
+  const std::string address = net::bound_address(holder);
+  start_with_address_in_use(site, holder);
+  holder.close();
+  REQUIRE(site.turn_until([&] {
+    return site.program->log().find("listens on " + address) != std::string::npos || site.program->ended();
+  }));
+  REQUIRE_FALSE(site.program->ended());
+  Client client(site, address);
+  client.call("1", 900);
+  REQUIRE(site.turn_until([&] { return !client.got.empty() || client.closed; }));
+  REQUIRE(client.got.size() == 1);
+  CHECK(client.got[0].at(1) == "OK");
+}
+
+TEST_CASE("an address that stays in use ends the start with its name; SIGTERM ends the wait for it") {
+  Site site(1000);
+  const net::Socket holder = net::listen_on("127.0.0.1:0").socket;
+  start_with_address_in_use(site, holder);
+  SECTION("stays in use") {
+    REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
+    CHECK(site.program->ended() == 1);
+    const std::string named =
+        "configuration: listen: cannot listen on " + net::bound_address(holder) + ": Address already in use";
+    CHECK(site.program->log().find(named) != std::string::npos);
+  }
+  SECTION("SIGTERM") {
+    site.program->tell(SIGTERM);
+    REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
+    CHECK(site.program->ended() == 0);
+  }
+}
+
 }  // namespace
 }  // namespace lotusyard::test
--- a/tests/lotusyard/support/server.h
+++ b/tests/lotusyard/support/server.h
@@ -18,7 +18,7 @@
 class Server : public net::Handler {
  public:
   Server(net::Loop& loop, net::BufferPool& pool, Owner& owner, const std::string& address = "127.0.0.1:0")
-      : loop_(loop), pool_(pool), owner_(owner), listener_(net::listen_on(address)) {
+      : loop_(loop), pool_(pool), owner_(owner), listener_(net::listen_on(address).socket) {
     REQUIRE(static_cast<bool>(listener_));
     address_ = net::bound_address(listener_);
     loop_.watch(listener_.fd(), *this, POLLIN);
