--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 constexpr double kLongestWait = 1000;
+constexpr double kFailedPollPause = 10;  // a poll(2) that fails returns at once, and would spin
 
 template <typename Clock>
 double milliseconds() {
@@ -62,6 +63,14 @@
   unflushed_.clear();
 }
 
+int Loop::wait_for_events(double wait) {
+  const int found = system_calls().poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
+  if (found < 0 && errno != EINTR) {
+    pause_for(std::chrono::duration_cast<std::chrono::nanoseconds>(Millis(std::min(wait, kFailedPollPause))));
+  }
+  return found;
+}
+
 void Loop::turn(Millis due, const std::function<void()>& decide) {
   double until = due.count();
   if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
@@ -73,7 +82,7 @@
     polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials_.push_back(by_fd_[fd].serial);
   }
-  const int found = system_calls().poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
+  const int found = wait_for_events(wait);
   turn_began_ = now();
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -71,6 +71,9 @@
   BufferPool::Block read_buffer_;
 
   void flush();
+  /// Polls `polled_` for at most `wait` milliseconds; the result is that of poll(2). A poll that fails, other
+  /// than by a signal, is followed by a short pause, no longer than `wait`.
+  int wait_for_events(double wait);
 };
 
 }  // namespace lotusyard::net
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -1,5 +1,7 @@
 #include "net/system_calls.h"
 
+#include <unistd.h>
+
 namespace lotusyard::net {
 namespace {
 
@@ -35,8 +37,20 @@
   return ::poll(descriptors, count, timeout_ms);
 }
 
+int SystemCalls::pipe(int ends[2], int flags) { return ::pipe2(ends, flags); }
+
+int SystemCalls::nanosleep(const timespec* duration, timespec* remaining) {
+  return ::nanosleep(duration, remaining);
+}
+
 SystemCalls& system_calls() { return *calls_in_use(); }
 
+void pause_for(std::chrono::nanoseconds duration) {
+  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(duration);
+  const timespec span{seconds.count(), (duration - seconds).count()};
+  system_calls().nanosleep(&span, nullptr);
+}
+
 ScopedSystemCalls::ScopedSystemCalls(SystemCalls& calls) : previous_(calls_in_use()) {
   calls_in_use() = &calls;
 }
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -4,7 +4,9 @@
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <chrono>
 #include <cstddef>
+#include <ctime>
 
 namespace lotusyard::net {
 
@@ -22,11 +24,16 @@
   virtual ssize_t send(int fd, const void* bytes, std::size_t size);
   virtual int shutdown(int fd, int how);
   virtual int poll(pollfd* descriptors, nfds_t count, int timeout_ms);
+  virtual int pipe(int ends[2], int flags);
+  virtual int nanosleep(const timespec* duration, timespec* remaining);
 };
 
 /// The calls in use: the kernel's, unless a `ScopedSystemCalls` is alive.
 SystemCalls& system_calls();
 
+/// Stops the thread for `duration`; a signal ends it sooner. For retries of calls that would else spin.
+void pause_for(std::chrono::nanoseconds duration);
+
 /// Replaces the calls in use for its lifetime; for tests. Not thread-safe, may be nested.
 class ScopedSystemCalls {
  public:
