--- a/src/app/signal_pipe.cpp
+++ b/src/app/signal_pipe.cpp
@@ -3,8 +3,12 @@
 #include <fcntl.h>
 #include <unistd.h>
 
+#include <cerrno>
+#include <chrono>
 #include <csignal>
-#include <stdexcept>
+#include <system_error>
+
+#include "net/system_calls.h"
 
 namespace lotusyard::app {
 namespace {
@@ -12,7 +16,10 @@
 volatile std::sig_atomic_t g_terminate = 0;
 volatile std::sig_atomic_t g_reload = 0;
 volatile std::sig_atomic_t g_print_counters = 0;
-int g_write_fd = -1;
+volatile std::sig_atomic_t g_write_fd = -1;
+
+constexpr int kPipeAttempts = 60;
+constexpr std::chrono::milliseconds kPipeRetryPause{50};
 
 void on_signal(int signal) {
   switch (signal) {
@@ -20,8 +27,12 @@
     case SIGHUP: g_reload = 1; break;
     default: g_terminate = 1; break;
   }
+  // The handler may stand between a failing call and the look at its errno.
+  const int interrupted_errno = errno;
   const char byte = 0;
-  if (write(g_write_fd, &byte, 1) < 0) return;  // the pipe is full: the loop wakes anyway
+  const ssize_t written = write(g_write_fd, &byte, 1);
+  static_cast<void>(written);  // no pipe yet, or it is full: the loop wakes anyway
+  errno = interrupted_errno;
 }
 
 bool take_flag(volatile std::sig_atomic_t& flag) {
@@ -30,15 +41,37 @@
   return was_set;
 }
 
+// A lack of descriptors in the machine may be over in a moment.
+void open_pipe(int ends[2]) {
+  for (int attempt = 1; net::system_calls().pipe(ends, O_NONBLOCK | O_CLOEXEC) != 0; ++attempt) {
+    const int error = errno;
+    const bool is_transient = error == EMFILE || error == ENFILE || error == ENOMEM;
+    if (!is_transient || attempt == kPipeAttempts) {
+      throw std::system_error(error, std::generic_category(), "no pipe for signals");
+    }
+    net::pause_for(kPipeRetryPause);
+  }
+}
+
 }  // namespace
 
+// The handlers first: a signal that comes before the pipe is there is kept in its flag.
 SignalPipe::SignalPipe(net::Loop& loop) : loop_(loop) {
+  install_handlers();
   int ends[2];
-  if (pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe for signals");
+  open_pipe(ends);
   read_end_ = net::Socket(ends[0]);
   write_end_ = net::Socket(ends[1]);
   g_write_fd = write_end_.fd();
   loop_.watch(read_end_.fd(), *this, POLLIN);
+}
+
+SignalPipe::~SignalPipe() {
+  g_write_fd = -1;
+  loop_.forget(read_end_.fd(), *this);
+}
+
+void SignalPipe::install_handlers() {
   struct sigaction action {};
   action.sa_handler = on_signal;
   for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) sigaction(signal, &action, nullptr);
@@ -46,8 +79,6 @@
   sigaction(SIGPIPE, &action, nullptr);
 }
 
-SignalPipe::~SignalPipe() { loop_.forget(read_end_.fd(), *this); }
-
 Signals SignalPipe::take() {
   Signals signals;
   signals.terminate = take_flag(g_terminate);
--- a/src/app/signal_pipe.h
+++ b/src/app/signal_pipe.h
@@ -17,7 +17,7 @@
 /// could miss one that comes just before it. SIGPIPE is ignored. One instance a process.
 class SignalPipe final : public net::Handler {
  public:
-  /// Throws std::runtime_error if there is no descriptor for the pipe.
+  /// Throws std::system_error if there is no descriptor for the pipe for some seconds.
   explicit SignalPipe(net::Loop& loop);
   ~SignalPipe() override;
   SignalPipe(const SignalPipe&) = delete;
@@ -31,6 +31,8 @@
  private:
   net::Loop& loop_;
   net::Socket read_end_, write_end_;
+
+  static void install_handlers();
 };
 
 }  // namespace lotusyard::app
--- a/tests/lotusyard/failing_calls_test.cpp
+++ b/tests/lotusyard/failing_calls_test.cpp
@@ -1,13 +1,18 @@
 // System calls that fail for a moment, over real connections.
+#include <signal.h>
+
 #include <array>
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <deque>
 #include <list>
 
+#include "app/signal_pipe.h"
+#include "feed/feed.h"
 #include "net/system_calls.h"
 #include "resp/front.h"
 #include "resp/parser.h"
+#include "support/stand_in_log.h"
 #include "support/world.h"
 
 namespace lotusyard::test {
@@ -20,7 +25,9 @@
  public:
   std::deque<int> accept_errors;
   int lasting_accept_error = 0;  // of all further accepts, unless 0
-  int accepts = 0, polls = 0;
+  std::deque<int> socket_errors, bind_errors, listen_errors, connect_errors, pipe_errors, poll_errors;
+  int lasting_poll_error = 0;
+  int accepts = 0, polls = 0, pipes = 0, connects = 0, sleeps = 0;
 
   int accept(int fd, int flags) override {
     ++accepts;
@@ -29,11 +36,38 @@
   }
   int poll(pollfd* descriptors, nfds_t count, int timeout_ms) override {
     ++polls;
+    if (const int error = next(poll_errors, lasting_poll_error)) return fail(error);
     return SystemCalls::poll(descriptors, count, timeout_ms);
   }
+  int socket(int domain, int type, int protocol) override {
+    if (const int error = next(socket_errors)) return fail(error);
+    return SystemCalls::socket(domain, type, protocol);
+  }
+  int bind(int fd, const sockaddr* address, socklen_t size) override {
+    if (const int error = next(bind_errors)) return fail(error);
+    return SystemCalls::bind(fd, address, size);
+  }
+  int listen(int fd, int backlog) override {
+    if (const int error = next(listen_errors)) return fail(error);
+    return SystemCalls::listen(fd, backlog);
+  }
+  int connect(int fd, const sockaddr* address, socklen_t size) override {
+    ++connects;
+    if (const int error = next(connect_errors)) return fail(error);
+    return SystemCalls::connect(fd, address, size);
+  }
+  int nanosleep(const timespec* duration, timespec* remaining) override {
+    ++sleeps;
+    return SystemCalls::nanosleep(duration, remaining);
+  }
+  int pipe(int ends[2], int flags) override {
+    ++pipes;
+    if (const int error = next(pipe_errors)) return fail(error);
+    return SystemCalls::pipe(ends, flags);
+  }
 
  private:
-  static int next(std::deque<int>& errors, int lasting) {
+  static int next(std::deque<int>& errors, int lasting = 0) {
     if (errors.empty()) return lasting;
     const int error = errors.front();
     errors.pop_front();
@@ -137,5 +171,139 @@
   }
 }
 
+TEST_CASE("a failed call for the listener is told by its error, and tells a moment's from a lasting one") {
+  FailingCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.socket_errors = {ENFILE};
+  CHECK(net::listen_on("127.0.0.1:0").error == std::errc::too_many_files_open_in_system);
+  calls.bind_errors = {EADDRINUSE, EACCES};
+  CHECK(net::listen_on("127.0.0.1:0").error == std::errc::address_in_use);
+  CHECK(net::listen_on("127.0.0.1:0").error == std::errc::permission_denied);
+  calls.listen_errors = {ENOBUFS};
+  CHECK(net::listen_on("127.0.0.1:0").error == std::errc::no_buffer_space);
+  CHECK(net::listen_on("no address").error == std::errc::invalid_argument);
+  const net::ListenResult result = net::listen_on("127.0.0.1:0");
+  CHECK(result.socket);
+  CHECK_FALSE(result.error);
+  const auto is_transient = [](int error) {
+    return net::is_transient_listen_error({error, std::generic_category()});
+  };
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRINUSE, EADDRNOTAVAIL}) {
+    CHECK(is_transient(error));
+  }
+  for (const int error : {EACCES, EINVAL, EAFNOSUPPORT, EPROTONOSUPPORT}) CHECK_FALSE(is_transient(error));
+}
+
+TEST_CASE("a front whose listener failed to open can listen later") {
+  World world(0);
+  resp::Front front(world.loop, world.pool, world.dispatcher, world.counters, {});
+  FailingCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.socket_errors = {ENOBUFS};
+  CHECK_FALSE(front.listen("127.0.0.1:0"));
+  CHECK(front.listen_error() == std::errc::no_buffer_space);
+  CHECK(front.listen("127.0.0.1:0"));
+  CHECK_FALSE(front.listen_error());
+}
+
+TEST_CASE("a poll that fails for want of memory does not spin, and timers still ring") {
+  for (const int error : {ENOMEM, EINVAL}) {
+    CAPTURE(error);
+    net::Loop loop;
+    FailingCalls calls;
+    const net::ScopedSystemCalls scope(calls);
+    calls.lasting_poll_error = error;
+    bool rung = false;
+    const Millis due = loop.now() + Millis(100);
+    loop.at(due, [&] { rung = true; });
+    while (!rung && calls.polls < 1000) loop.turn(due + Millis(60000), [] {});
+    CHECK(rung);
+    CHECK(calls.polls <= 20);  // a pause of 10 ms each
+    CHECK(calls.sleeps == calls.polls);
+  }
+}
+
+TEST_CASE("a poll that a signal interrupts is followed by the next at once") {
+  FrontUnderFaults server;
+  CheckingClient client(server);
+  server.calls.poll_errors.assign(200, EINTR);
+  REQUIRE(server.world.turn_until([&] { return server.calls.polls >= 200; }, kMaxTurns));
+  CHECK(server.calls.sleeps == 0);
+  CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
+}
+
+// The signal's action at the end is that of the start.
+class ScopedSignalActions {
+ public:
+  ScopedSignalActions() {
+    for (std::size_t i = 0; i < kSignals.size(); ++i) sigaction(kSignals[i], nullptr, &previous_[i]);
+  }
+  ~ScopedSignalActions() {
+    for (std::size_t i = 0; i < kSignals.size(); ++i) sigaction(kSignals[i], &previous_[i], nullptr);
+  }
+  ScopedSignalActions(const ScopedSignalActions&) = delete;
+  ScopedSignalActions& operator=(const ScopedSignalActions&) = delete;
+
+ private:
+  static constexpr std::array<int, 5> kSignals{SIGTERM, SIGINT, SIGUSR1, SIGHUP, SIGPIPE};
+  std::array<struct sigaction, 5> previous_{};
+};
+
+TEST_CASE("a shortage of descriptors for a moment at the start is waited for; signals work after it") {
+  const ScopedSignalActions actions;
+  net::Loop loop;
+  FailingCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.pipe_errors = {EMFILE, ENFILE, ENOMEM};
+  app::SignalPipe signals(loop);
+  CHECK(calls.pipes == 4);
+  CHECK(calls.sleeps == 3);
+  raise(SIGHUP);
+  loop.turn(loop.now() + Millis(1000), [] {});
+  CHECK(signals.take().reload);
+}
+
+TEST_CASE("a pipe for signals that cannot be opened for another reason ends the start, named") {
+  const ScopedSignalActions actions;
+  net::Loop loop;
+  FailingCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.pipe_errors = {EINVAL};
+  CHECK_THROWS_WITH(app::SignalPipe(loop), Catch::Contains("Invalid argument"));
+  CHECK(calls.pipes == 1);
+}
+
+TEST_CASE("a signal leaves errno to the code that it interrupts") {
+  constexpr int kPipeBytes = 1 << 16;  // the kernel's default: further writes fail
+  const ScopedSignalActions actions;
+  net::Loop loop;
+  app::SignalPipe signals(loop);
+  errno = 0;
+  for (int i = 0; i <= kPipeBytes && errno == 0; ++i) raise(SIGUSR1);
+  CHECK(errno == 0);
+  CHECK(signals.take().print_counters);
+}
+
+TEST_CASE("a connect to the change log that fails here for a moment is retried with a backoff") {
+  net::Loop loop;
+  net::BufferPool pool(64);
+  core::Counters counters;
+  StandInLog log(loop, pool);
+  log.breaks_off = false;
+  std::size_t events = 0;
+  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
+                  [&](const core::MemberList&) { ++events; });
+  FailingCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.socket_errors = {ENFILE};
+  calls.connect_errors = {EADDRNOTAVAIL, ENETUNREACH};
+  const Millis began = loop.now();
+  feed.start();
+  for (int i = 0; i < kMaxTurns && events < log.events; ++i) loop.turn(loop.now() + Millis(20), [] {});
+  CHECK(events == log.events);
+  CHECK(calls.connects >= 3);
+  CHECK((loop.now() - began).count() >= 50 + 50 + 100);  // no try comes before its backoff is over
+}
+
 }  // namespace
 }  // namespace lotusyard::test
