--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -112,12 +112,17 @@
   }
 }
 
+void Dispatcher::note_outcome(Open& open, Outcome outcome) {
+  if (!robinfold::proves_never_ran(outcome)) open.may_have_run = true;
+  if (outcome == Outcome::not_sent) ++open.not_sent;
+}
+
 // Tells the module of the end of the attempt that is out, if one is.
 void Dispatcher::give_back(CallId id, Open& open, Outcome outcome, bool over) {
   if (!open.out) return;
   const Out out = std::move(*open.out);
   open.out.reset();
-  if (!robinfold::proves_never_ran(outcome)) open.may_have_run = true;
+  note_outcome(open, outcome);
   const Millis now = clock_();
   AttemptOutcome told{{id, out.attempt.number}, out.host, outcome, over, 0, now - out.sent, std::nullopt};
   run(module_.report(now, told));
@@ -128,7 +133,7 @@
   if (open == nullptr || !open->out || !(open->out->attempt == attempt)) return;
   const Out out = std::move(*open->out);
   open->out.reset();
-  if (!robinfold::proves_never_ran(end.outcome)) open->may_have_run = true;
+  note_outcome(*open, end.outcome);
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
   AttemptOutcome told{attempt,   out.host,       end.outcome,          served,
@@ -196,7 +201,9 @@
   const Millis now = clock_(), left = open->call.arrived + open->call.allow - now;
   const Millis patience = step.patience.count() > 0 ? std::min(step.patience, left) : left;
   const bool again = open->once && open->may_have_run;
-  if (open->out || again || attempt.number >= settings_.max_attempts || patience.count() < 1) {
+  // Attempts that a local fault kept here do not count; the backoff of `Hosts` bounds how many there are.
+  const bool spent = attempt.number - open->not_sent >= settings_.max_attempts;
+  if (open->out || again || spent || patience.count() < 1) {
     counters_.add("guard.send_stopped");
     const bool other_out = open->out.has_value();
     if (!other_out) finish(step.call, Answer{});
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -49,7 +49,8 @@
     Call call;
     Front* front = nullptr;
     bool once = true, may_have_run = false;
-    int attempts = 0;
+    int attempts = 0;  // the number of the next one, as the module counts them
+    int not_sent = 0;  // of these, kept from leaving by a fault of this machine
     std::optional<Out> out;
   };
   struct Due {
@@ -83,6 +84,7 @@
   void carry_out(const ProbeStep& step) { hosts_.probe(step.host); }
   void carry_out(const LoadStep& step);
   void carry_out(const UnloadStep& step) { hosts_.release(step.host, step.function); }
+  static void note_outcome(Open& open, Outcome outcome);
   void give_back(CallId id, Open& open, Outcome outcome, bool over);
   void finish(CallId id, Answer&& answer);
   const char* fault_of(const Call& call) const;
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -9,6 +9,13 @@
 using core::Outcome;
 using core::WorkerState;
 
+namespace {
+
+// A local fault is reported so late that a lasting one costs a call some tens of tries, not thousands.
+constexpr Millis kMinBackoff{4}, kMaxBackoff{64};
+
+}  // namespace
+
 Fleet::Fleet(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)) {
   // Where a connection carries few calls, a fixed number of them would keep a host's slots empty.
@@ -73,7 +80,7 @@
   return nullptr;
 }
 
-Link* Fleet::link_for(Host& host, const std::string& ref) {
+Fleet::LinkChoice Fleet::link_for(Host& host, const std::string& ref) {
   Link* best = nullptr;
   std::size_t counted = 0;
   for (const auto& link : host.links) {
@@ -81,28 +88,30 @@
     if (!link->accepts(ref)) continue;
     if (best == nullptr || link->load() < best->load()) best = link.get();
   }
-  if (best != nullptr) return best;
+  if (best != nullptr) return {best};
   // With more hosts than links may be up, those to hosts used a while ago would keep out all others.
   if (counted >= limits_.links_a_host || (links_ >= limits_.links && !close_idle_link())) {
     counters_.add("hosts.no_link");
-    return nullptr;
+    return {nullptr, Outcome::not_sent};
   }
-  net::Socket socket = net::connect_to(host.member.address);
-  if (!socket) {
-    counters_.add("hosts.connect_failed");
-    return nullptr;
+  net::ConnectResult connection = net::begin_connect(host.member.address);
+  if (connection.fault != net::ConnectFault::none) {
+    const bool local = connection.fault == net::ConnectFault::local;
+    counters_.add(local ? "hosts.connect_local_faults" : "hosts.connect_failed");
+    return {nullptr, local ? Outcome::not_sent : Outcome::connect_failed};
   }
   counters_.add("hosts.links_opened");
+  backoff_ = Millis(0);
   ++links_;
   LinkObserver& observer = *this;
   host.links.push_back(std::make_shared<Link>(loop_, pool_, counters_, limits_, observer,
-                                              host.member.entry.worker, std::move(socket)));
-  return host.links.back().get();
+                                              host.member.entry.worker, std::move(connection.socket)));
+  return {host.links.back().get()};
 }
 
-Link* Fleet::link_to_ready(const std::string& id, const std::string& ref) {
+Fleet::LinkChoice Fleet::link_to_ready(const std::string& id, const std::string& ref) {
   Host* host = ready_host(id);
-  return host == nullptr ? nullptr : link_for(*host, ref);
+  return host == nullptr ? LinkChoice{} : link_for(*host, ref);
 }
 
 // Ends the one longest unused; false if none is idle.
@@ -120,15 +129,31 @@
   return true;
 }
 
-void Fleet::later(std::function<void()> notify) { loop_.at(loop_.now(), std::move(notify)); }
+// Doubles while no connection can be begun, once for all the faults that fall into one wait.
+Millis Fleet::next_backoff() {
+  const Millis now = loop_.now();
+  if (backoff_.count() == 0 || now >= backoff_end_) {
+    backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
+    backoff_end_ = now + backoff_;
+  }
+  return backoff_;
+}
+
+// The host's failure is reported at once; a local fault after a backoff, but well within `timeout`: past that
+// the attempt would be taken for one that its host has kept waiting.
+void Fleet::later(Outcome failure, Millis timeout, std::function<void()> notify) {
+  const Millis wait = failure == Outcome::not_sent ? std::min(next_backoff(), timeout / 2) : Millis(0);
+  loop_.at(loop_.now() + wait, std::move(notify));
+}
 
 void Fleet::exec(const core::Attempt& attempt, const std::string& id, const core::Call& call,
                  Millis timeout) {
-  Link* link = link_to_ready(id, call.ref);
+  const auto [link, failure] = link_to_ready(id, call.ref);
   if (link == nullptr) {
-    return later([this, attempt] {
-      dispatcher_->attempt_ended(attempt, {Outcome::connect_failed, 0, std::nullopt, {}});
-    });
+    const auto report = [this, attempt, outcome = failure] {
+      dispatcher_->attempt_ended(attempt, {outcome, 0, std::nullopt, {}});
+    };
+    return later(failure, timeout, report);
   }
   attempts_[attempt] = link;
   link->exec(attempt, call, timeout);
@@ -143,24 +168,26 @@
 }
 
 void Fleet::probe(const std::string& id) {
-  if (Link* link = link_to_ready(id, {})) {
+  const auto [link, failure] = link_to_ready(id, {});
+  if (link != nullptr) {
     counters_.add("hosts.probes");
     return link->probe("p" + std::to_string(++last_tag_));
   }
-  later([this, id] { dispatcher_->probe_ended({id, Outcome::connect_failed, Millis(0), std::nullopt}); });
+  later(failure, limits_.order_timeout, [this, id, outcome = failure] {
+    dispatcher_->probe_ended({id, outcome, Millis(0), std::nullopt});
+  });
 }
 
 void Fleet::ensure(const std::string& id, std::uint64_t function, int instances) {
-  if (Link* link = link_to_ready(id, {})) {
-    return link->order_load("t" + std::to_string(++last_tag_), function, instances);
-  }
-  later([this, id, function] {
-    dispatcher_->load_ended({id, function, Outcome::connect_failed, Millis(0), 0});
+  const auto [link, failure] = link_to_ready(id, {});
+  if (link != nullptr) { return link->order_load("t" + std::to_string(++last_tag_), function, instances); }
+  later(failure, limits_.order_timeout, [this, id, function, outcome = failure] {
+    dispatcher_->load_ended({id, function, outcome, Millis(0), 0});
   });
 }
 
 void Fleet::release(const std::string& id, std::uint64_t function) {
-  if (Link* link = link_to_ready(id, {})) link->unload(function);
+  if (Link* link = link_to_ready(id, {}).link) link->unload(function);
 }
 
 void Fleet::on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) {
--- a/src/hosts/fleet.h
+++ b/src/hosts/fleet.h
@@ -52,6 +52,8 @@
   std::map<core::Attempt, Link*> attempts_;
   std::size_t links_ = 0;
   std::uint64_t last_tag_ = 0;
+  Millis backoff_{0};      // how long the latest local fault was kept back; 0: a connection was begun since
+  Millis backoff_end_{0};  // until when faults are kept back for as long
 
   void on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) override;
   void on_load_ended(core::LoadOutcome&& end) override;
@@ -62,10 +64,17 @@
   void take_member(const core::Member& member);
   void index_address(const std::string& id, const std::string& before, const std::string& now);
   Host* ready_host(const std::string& id);
-  Link* link_for(Host& host, const std::string& ref);
-  Link* link_to_ready(const std::string& id, const std::string& ref);
+  /// A connection, or the outcome of what was to go over it: `not_sent` if the fault is this machine's,
+  /// `connect_failed` if it is the host's.
+  struct LinkChoice {
+    Link* link = nullptr;
+    core::Outcome failure = core::Outcome::not_sent;
+  };
+  LinkChoice link_for(Host& host, const std::string& ref);
+  LinkChoice link_to_ready(const std::string& id, const std::string& ref);
   bool close_idle_link();
-  void later(std::function<void()> notify);
+  Millis next_backoff();
+  void later(core::Outcome failure, Millis timeout, std::function<void()> notify);
 };
 
 }  // namespace lotusyard::hosts
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -32,6 +32,17 @@
   return {found, &freeaddrinfo};
 }
 
+// What connect(2) reports at once of a peer or of the way to it; everything else lies at this machine.
+ConnectFault connect_fault_of(int error) {
+  switch (error) {
+    case ECONNREFUSED:
+    case ECONNRESET:
+    case ETIMEDOUT:
+    case EHOSTUNREACH: return ConnectFault::remote;
+    default: return ConnectFault::local;
+  }
+}
+
 void no_delay(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -95,17 +106,21 @@
   }
 }
 
-Socket connect_to(const std::string& address) {
+ConnectResult begin_connect(const std::string& address) {
   const Addresses at = resolve(address, 0);
-  if (!at) return Socket();
+  if (!at) return {Socket(), ConnectFault::address};
   Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket) return Socket();
+  if (!socket) return {Socket(), ConnectFault::local};
   no_delay(socket.fd());
   const int result = system_calls().connect(socket.fd(), at->ai_addr, at->ai_addrlen);
-  if (result != 0 && errno != EINPROGRESS) return Socket();
-  return socket;
+  // A connect that a signal interrupts goes on, as a non-blocking one does.
+  const bool under_way = result == 0 || errno == EINPROGRESS || errno == EINTR;
+  if (!under_way) return {Socket(), connect_fault_of(errno)};
+  return {std::move(socket), ConnectFault::none};
 }
 
+Socket connect_to(const std::string& address) { return begin_connect(address).socket; }
+
 AcceptResult accept_from(const Socket& listener) {
   Socket socket(system_calls().accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket) return {accept_failure(errno), Socket()};
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -38,8 +38,27 @@
 /// True for an error of listen_on that may be over in a moment: a lack of descriptors or memory, or an
 /// address that is still in use or not yet configured.
 bool is_transient_listen_error(const std::error_code& error);
-/// A failed call gives an empty Socket.
-Socket connect_to(const std::string& address);  // under way: writable once it is decided
+
+/// Why no connection was begun.
+enum class ConnectFault {
+  none,
+  /// This machine had no descriptor, port, memory or route for it: says nothing of the peer.
+  local,
+  /// The peer or the network on the way to it has refused.
+  remote,
+  /// The address can't be read.
+  address
+};
+
+struct ConnectResult {
+  Socket socket;  // empty unless `fault` is none
+  ConnectFault fault = ConnectFault::none;
+};
+
+/// Begins a connection; the socket is writable once it is decided.
+ConnectResult begin_connect(const std::string& address);
+/// The same for callers that wait and try again whatever the fault was: an empty Socket.
+Socket connect_to(const std::string& address);
 
 /// What one accept(2) came to.
 enum class AcceptStatus {
