--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -354,8 +354,13 @@
   attempts_.clear();
   requests_.clear();
   observer_.on_link_closed(*this);  // this object lives to the turn's end
+  // Only a close or a reset shows that the process may have died: a network that gave up, a silence or an
+  // answer that can't be understood does not.
+  const bool ended_by_host =
+      end_cause() == net::StreamEnd::closed_by_peer || end_cause() == net::StreamEnd::reset_by_peer;
   const auto outcome = [&](bool written, std::uint64_t end) {
-    return written && outbox().written() >= end ? Outcome::reset : Outcome::connect_failed;
+    if (!written || outbox().written() < end) return Outcome::connect_failed;
+    return ended_by_host ? Outcome::reset : Outcome::unreachable;
   };
   if (!liveness_.ever_connected()) counters_.add("hosts.links_refused");
   for (const auto& [ref, sent] : attempts) {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -1,6 +1,7 @@
 #include "net/stream.h"
 
 #include <cerrno>
+#include <utility>
 
 #include "net/system_calls.h"
 
@@ -9,6 +10,11 @@
 
 constexpr int kReadsATurn = 8;  // one busy peer must not keep the others waiting
 
+StreamEnd end_of_error(int error) {
+  const bool by_peer = error == ECONNRESET || error == EPIPE || error == ECONNREFUSED;
+  return by_peer ? StreamEnd::reset_by_peer : StreamEnd::network_failure;
+}
+
 }  // namespace
 
 Stream::Stream(Loop& loop, BufferPool& pool, Socket socket, bool connecting)
@@ -37,6 +43,7 @@
   if (!socket_ || connecting_ || ending_) return false;
   const auto written = outbox_.write_to(socket_.fd());
   if (written == Outbox::Written::broken) {
+    note_end(end_of_error(errno));
     end_later();
     return false;
   }
@@ -67,6 +74,10 @@
   end_later();
 }
 
+void Stream::note_end(StreamEnd cause) {
+  if (end_cause_ == StreamEnd::local) end_cause_ = cause;
+}
+
 void Stream::end() {
   if (!socket_) return;
   loop_.forget(socket_.fd(), *this);
@@ -77,7 +88,11 @@
 
 void Stream::ready(short events) {
   if (connecting_) {
-    if (pending_error(socket_) != 0 || (events & (POLLERR | POLLNVAL)) != 0) return end();
+    const int error = pending_error(socket_);
+    if (error != 0 || (events & (POLLERR | POLLNVAL)) != 0) {
+      note_end(end_of_error(error));
+      return end();
+    }
     if ((events & POLLOUT) == 0) return;
     connecting_ = false;
     watch();
@@ -93,7 +108,10 @@
     const ssize_t got = system_calls().receive(socket_.fd(), block.data(), block.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (got <= 0) return end();
+    if (got <= 0) {
+      note_end(got == 0 ? StreamEnd::closed_by_peer : end_of_error(errno));
+      return end();
+    }
     received(std::string_view(block.data(), static_cast<std::size_t>(got)));
     if (static_cast<std::size_t>(got) < block.size()) return;
   }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -8,6 +8,14 @@
 
 namespace lotusyard::net {
 
+/// What ended a stream; the first cause counts.
+enum class StreamEnd {
+  local,            // the owner's decision, or not ended
+  closed_by_peer,   // in order
+  reset_by_peer,    // the peer's process or kernel gave the connection up
+  network_failure,  // any other error: the peer may be well
+};
+
 /// Owns a socket, its unwritten bytes and its place in the loop, and gives all three back at once when it
 /// ends. Derived classes are told of what comes; they are kept alive to the end of the turn in which they
 /// end.
@@ -27,6 +35,7 @@
   bool connecting() const { return static_cast<bool>(socket_) && connecting_; }
   bool ending() const { return ending_ || !socket_; }  // nothing written now would go out
   const Outbox& outbox() const { return outbox_; }
+  StreamEnd end_cause() const { return end_cause_; }
 
   void ready(short events) final;
   void flush() final;
@@ -46,9 +55,12 @@
   Outbox outbox_;
   bool connecting_ = false, ending_ = false, ends_when_written_ = false;
 
+  StreamEnd end_cause_ = StreamEnd::local;
+
   void watch();
   void discarded();
   void read();
+  void note_end(StreamEnd cause);
 };
 
 }  // namespace lotusyard::net
--- a/tests/lotusyard/host_faults_test.cpp
+++ b/tests/lotusyard/host_faults_test.cpp
@@ -1,7 +1,9 @@
 // Faults of this machine and of the network on connections to hosts: what they say of a host, and what not.
 #include <catch2/catch.hpp>
 #include <cerrno>
+#include <map>
 
+#include "hosts/link.h"
 #include "net/fields.h"
 #include "support/scripted_calls.h"
 #include "support/world.h"
@@ -9,7 +11,11 @@
 namespace lotusyard::test {
 namespace {
 
+using core::Outcome;
+using Kind = Reaction::Kind;
+
 constexpr int kMaxTurns = 20000;
+constexpr Millis kMaxWait{10000};
 
 core::Call call_of(const std::string& ref, Millis arrived = Millis(0), Millis allow = Millis(0)) {
   core::Call call;
@@ -35,6 +41,43 @@
   REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
 }
 
+/// One connection to one stand-in host, without the pool and the dispatcher.
+struct SingleLink final : hosts::LinkObserver {
+  net::Loop loop;
+  net::BufferPool pool{64};
+  core::Counters counters;
+  hosts::Limits limits = World::limits();
+  StandInHost host{loop, pool};
+  std::shared_ptr<hosts::Link> link;
+  std::map<core::Attempt, Outcome> attempts;
+  std::vector<Outcome> loads, probes;
+  bool closed = false;
+
+  SingleLink() {
+    host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  }
+  void connect() {
+    LinkObserver& observer = *this;
+    net::ConnectResult connection = net::begin_connect(host.server.address());
+    REQUIRE(connection.fault == net::ConnectFault::none);
+    link = std::make_shared<hosts::Link>(loop, pool, counters, limits, observer, "h0",
+                                         std::move(connection.socket));
+  }
+  template <typename Until>
+  bool turn_until(const Until& until) {
+    const Millis limit = loop.now() + kMaxWait;
+    while (loop.now() < limit && !until()) loop.turn(loop.now() + Millis(20), [] {});
+    return until();
+  }
+  void on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) override {
+    attempts[attempt] = end.outcome;
+  }
+  void on_load_ended(core::LoadOutcome&& end) override { loads.push_back(end.outcome); }
+  void on_probe_ended(core::ProbeOutcome&& end) override { probes.push_back(end.outcome); }
+  void on_link_closed(hosts::Link&) override { closed = true; }
+  bool take_load_budget() override { return true; }
+};
+
 // Failure found in review: a connect that failed here made the module suspect or eject the host.
 TEST_CASE("a call that a local fault kept back goes out a moment later and costs its host no probe") {
   const int error = GENERATE(EADDRNOTAVAIL, ENETUNREACH, ENFILE, EMFILE, ENOBUFS, ENOMEM, EAGAIN);
@@ -122,5 +165,62 @@
   }
 }
 
+TEST_CASE("a refused connection is the host's failure, and nothing ran") {
+  SingleLink single;
+  single.host.server.stop();
+  single.connect();
+  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  REQUIRE(single.turn_until([&] { return single.closed; }));
+  CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
+}
+
+// Failure found in review: any end of a connection was reported as the reset that shows a dead process.
+TEST_CASE("only a close or a reset shows that the process died; a network that gave up does not") {
+  SingleLink single;
+  ScriptedCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  single.connect();
+  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(5000));
+  single.link->order_load("t1", 0xa1, 1);
+  single.host.loads = true;
+  REQUIRE(single.turn_until([&] { return single.host.execs == 1 && single.host.orders == 1; }));
+  Outcome expected = Outcome::reset;
+  SECTION("read fails") {
+    const int error = GENERATE(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET);
+    if (error != ECONNRESET) expected = Outcome::unreachable;
+    calls.receive_error = error;
+    single.host.server.peers.front()->write("x");
+  }
+  SECTION("write fails") {
+    const int error = GENERATE(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE);
+    if (error != ECONNRESET && error != EPIPE) expected = Outcome::unreachable;
+    calls.send_error = error;
+    single.link->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
+    single.link->probe("p1");
+  }
+  SECTION("the host closes") { single.host.server.peers.front()->end_later(); }
+  SECTION("the host sends what can't be understood") {
+    expected = Outcome::unreachable;
+    single.host.server.peers.front()->write("no answer\r\n");
+  }
+  REQUIRE(single.turn_until([&] { return single.closed; }));
+  CHECK(single.attempts.at({1, 0}) == expected);
+  CHECK(single.loads == std::vector<Outcome>{expected});
+  if (single.attempts.size() == 2) {
+    CHECK(single.attempts.at({2, 0}) == Outcome::connect_failed);  // it had not left
+    CHECK(single.probes == std::vector<Outcome>{Outcome::connect_failed});
+  }
+}
+
+TEST_CASE("a host that is silent on a connection is not reported as dead") {
+  SingleLink single;
+  single.host.mute = true;
+  single.connect();
+  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  REQUIRE(single.turn_until([&] { return single.closed; }));
+  CHECK(single.counters.value("hosts.silent_links") == 1);
+  CHECK(single.attempts.at({1, 0}) == Outcome::unreachable);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
