--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -11,6 +11,10 @@
 
 constexpr Millis kSuspectSilence{400};  // an attempt dropped after such a silence: the host may be cut off
 constexpr Millis kLivenessInterval{50};
+// An attempt carries the time that its client has left. One that leaves later than this, or an interval more,
+// would carry more than is left.
+constexpr Millis kMaxUnsentAge{80};
+constexpr Millis kMinTimeout{1};          // the least that the protocol can tell
 constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
 constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
 constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
@@ -182,14 +186,17 @@
   request.timer = loop().at(loop().now(), [this, tag] { request_timed_out(tag); });
 }
 
+// Nothing is written past the client's time; the dispatcher drops the attempt in its next turn.
 void Link::write_attempt(const WaitingAttempt& attempt, Millis timeout, Sent& sent) {
-  const auto whole = std::max<std::int64_t>(1, static_cast<std::int64_t>(std::floor(timeout.count())));
+  if (timeout < kMinTimeout) return;
+  const auto whole = static_cast<std::int64_t>(std::floor(timeout.count()));
   std::string message = "exec " + attempt.ref + ' ' + attempt.fields + ",patience=" + std::to_string(whole) +
                         ' ' + std::to_string(attempt.body.size()) + "\r\n";
   message += attempt.body;
   message += "\r\n";
   write(message);
   sent.written = true;
+  sent.written_at = loop().now();
   sent.end = outbox().appended();
 }
 
@@ -315,10 +322,25 @@
   liveness_timer_ = loop().at(loop().now() + kLivenessInterval, [this] { check_liveness(); });
 }
 
+bool Link::has_stale_attempt(Millis now) const {
+  if (outbox().empty()) return false;
+  return std::any_of(attempts_.begin(), attempts_.end(), [&](const auto& entry) {
+    const Sent& sent = entry.second;
+    const bool unsent = sent.written && sent.end > outbox().written();
+    return unsent && now - sent.written_at > kMaxUnsentAge;
+  });
+}
+
 void Link::check_liveness() {
   watching_ = false;
   if (load() == 0 || ending()) return;
   const Millis now = loop().now();
+  // What waits since a stall of this program's own loop, no host has refused yet.
+  const bool refused = has_stale_attempt(now) && !flush_now() && has_stale_attempt(now);
+  if (refused) {
+    counters_.add("hosts.stalled_links");
+    return end_later();
+  }
   const auto verdict =
       open() ? liveness_.judge(now, last_timeout_, attempts_.size()) : Liveness::Verdict::fine;
   if (verdict == Liveness::Verdict::answer_cut_off || verdict == Liveness::Verdict::silent) {
--- a/src/hosts/link.h
+++ b/src/hosts/link.h
@@ -76,6 +76,7 @@
     std::uint64_t end = 0;  // offset behind its last byte
     bool written = false;   // its bytes stand in the outbox or went out
     Millis at{0};
+    Millis written_at{0};
   };
   struct WaitingAttempt {  // for the connection
     std::string ref, fields, body;
@@ -131,6 +132,7 @@
   void request_timed_out(const std::string& tag);
   void end_request(const Request& request, core::Outcome outcome, int instances, core::Report report);
   core::Report read_report(const std::string& text) const;
+  bool has_stale_attempt(Millis now) const;
   void watch_liveness();
   void check_liveness();
   void update_idle_timer();
--- a/tests/lotusyard/host_faults_test.cpp
+++ b/tests/lotusyard/host_faults_test.cpp
@@ -37,7 +37,8 @@
 
 void take_call(World& world, RecordingFront& front, const std::string& ref, Millis allow) {
   core::Call call = call_of(ref, world.loop.now(), allow);
-  REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
+  const bool taken = world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front);
+  REQUIRE(taken);
 }
 
 /// One connection to one stand-in host, without the pool and the dispatcher.
@@ -243,5 +244,60 @@
   CHECK(calls.connects == 2);  // neither does the same stamp again nor none
 }
 
+TEST_CASE("an attempt whose time is over when its connection comes up does not leave") {
+  SingleLink single;
+  single.host.react = [](const std::string&) { return Reaction(); };
+  single.connect();
+  const Millis timeout{5};
+  single.link->exec({1, 0}, call_of("000000000000000a"), timeout);
+  single.link->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
+  const Millis until = single.loop.now() + timeout;
+  while (single.loop.now() < until) {}  // the connection is not up before the next turn
+  REQUIRE(single.turn_until([&] { return !single.attempts.empty(); }));
+  CHECK(single.attempts.at({2, 0}) == Outcome::ok);
+  CHECK(single.host.execs == 1);
+  CHECK_FALSE(single.link->drop({1, 0}));
+}
+
+// Failure found in review: bytes that a host did not read left later, with the time that was left before.
+TEST_CASE("an attempt that its host does not take in never leaves with more time than its client has left") {
+  SingleLink single;
+  ScriptedCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  single.connect();
+  REQUIRE(single.turn_until([&] { return single.link->open(); }));
+  calls.send_error = EAGAIN;
+  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  SECTION("it waits") {
+    const Millis until = single.loop.now() + Millis(300);
+    REQUIRE(single.turn_until([&] {
+      if (single.loop.now() > until) calls.send_error = 0;  // by then 300 ms of its time are gone
+      return single.closed || single.host.execs > 0;
+    }));
+    CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
+    CHECK(single.counters.value("hosts.stalled_links") == 1);
+  }
+  SECTION("its client goes") {
+    single.loop.turn(single.loop.now(), [] {});
+    CHECK_FALSE(single.link->drop({1, 0}));
+    calls.send_error = 0;
+    REQUIRE(single.turn_until([&] { return single.closed; }));
+  }
+  REQUIRE(single.turn_until([&] { return single.host.server.peers.empty(); }));
+  CHECK(single.host.execs == 0);
+}
+
+TEST_CASE("a stall of the invoker between writing an attempt and sending it does not end the connection") {
+  SingleLink single;
+  single.connect();
+  REQUIRE(single.turn_until([&] { return single.link->open(); }));
+  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  const Millis until = single.loop.now() + Millis(100);
+  while (single.loop.now() < until) {}  // nothing is sent before the next turn's end
+  REQUIRE(single.turn_until([&] { return single.closed || single.host.execs == 1; }));
+  CHECK_FALSE(single.closed);
+  CHECK(single.host.execs == 1);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
