--- a/tests/lotusyard/host_faults_test.cpp
+++ b/tests/lotusyard/host_faults_test.cpp
@@ -299,5 +299,21 @@
   CHECK(single.host.execs == 1);
 }
 
+// Failure found in review: a retry for which its host had no connection left made the host suspect.
+TEST_CASE("a retry for which no further connection may be opened costs its host no probe") {
+  hosts::Limits limits = World::limits();
+  limits.links_a_host = limits.calls_a_host = 1;  // and a ref is not used again there within a second
+  World world(1, settings(), limits);
+  RecordingFront front;
+  world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "full"}; };
+  take_call(world, front, "000000000000000a", Millis(900));
+  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
+  CHECK(front.verdicts == std::vector<core::Verdict>{core::Verdict::refused});
+  CHECK(world.host[0]->execs == 1);
+  CHECK(world.counters.value("hosts.no_link") >= 1);
+  CHECK(world.counters.value("hosts.no_link") <= 30);
+  CHECK(world.counters.value("hosts.probes") == 0);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
