--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -97,7 +97,9 @@
   std::uint64_t hash = 0;
   int inflight = 0, opening = 0, listed = 0;  // opening: of these, calls to copies not known to stand
   bool waiting_told = true;                   // nothing new to tell
-  Millis doubted{kNever};                     // since when a broken connection leaves open whether it runs
+  // From here the warm-up counts, on this invoker's own clock; kNever: it did not start late.
+  Millis up_since{kNever};
+  Millis doubted{kNever};  // since when a broken connection leaves open whether it runs
   bool doubted_reset = false;
   int probes_lost = 0;  // since that
   double limit = kLimitFirst, waiting = 0, stretch = 1, cold_tokens = 0;
@@ -200,7 +202,7 @@
   bool shared() const { return s_.routers >= kShared; }
   // Danger: the list is seconds late; a worker seen to die is cold when it answers again, and from then on.
   bool cold(const Worker& w) const {
-    const Millis since = std::max(w.started, w.died);
+    const Millis since = std::max(w.up_since, w.died);
     return w.lost || (since.count() > 0 && now_ - since < s_.cold_for);
   }
   // Passive health check: takes calls, answers none. All that is out there may wait for a load: no silence.
@@ -400,20 +402,32 @@
   }
   void take_entry(int index, const WorkerEntry& entry) {
     Worker& w = at(index);
-    const bool again = !w.worker.empty() && entry.started > w.started;  // same id, but empty and cold
-    if (again || w.worker.empty()) {
+    const bool fresh = w.worker.empty();
+    // A stamp is of the worker's wall clock, which may be stepped: any change of it is a restart. Zero tells
+    // nothing: entries of workers that are gone or drain need not have one.
+    const bool stamped = entry.started.count() != 0 && (fresh || entry.started != w.started);
+    const bool again = stamped && !fresh;  // same id, but empty and cold
+    if (stamped) w.up_since = start_time(entry.started);
+    const Millis stamp = stamped ? entry.started : w.started;
+    if (again || fresh) {
       static_cast<Health&>(w) = Health();
       w.classes.assign(s_.classes.size() + 1, Health());
       w.cold_filled = kNever;
     }
     if (again || entry.state != WorkerState::ready) forget_copies(index);
     static_cast<WorkerEntry&>(w) = entry;
+    w.started = stamp;
     w.listed = list_version_;
     w.hash = hash_of(entry.worker);
     tags_[tag_of(w.hash)] = index;
     if (!(w.weight > 0)) w.weight = 1;
   }
 
+  // A start that a later list tells of lies between the list before and now, whatever its stamp: it counts
+  // from now, the latest that it can be, so that a worker is never taken for warmer than it is. Of the starts
+  // in the first list only the stamp is known; one ahead of the local clock counts as now.
+  Millis start_time(Millis stamp) const { return list_version_ == 1 ? std::min(stamp, now_) : now_; }
+
   // ---- Places ------------------------------------------------------------------------------------------
   // Rendezvous hashing: all routers agree on a function's few workers; each has an order of its own in them.
   double demand(const Function& f) const {  // this router's calls of the function in service at once
@@ -647,7 +661,7 @@
   // random start.
   bool may_warm(const Request& r, Worker& w) {
     if (!cold(w)) return true;
-    const double age = w.lost ? 0 : std::max(0.0, (now_ - std::max(w.started, w.died)) / s_.cold_for);
+    const double age = w.lost ? 0 : std::max(0.0, (now_ - std::max(w.up_since, w.died)) / s_.cold_for);
     const double share = s_.cold_from + (1 - s_.cold_from) * std::min(1.0, age), work = work_of(r);
     const double use = core_use_.known() ? std::max(core_use_.value, kLeastUse) : 1;
     const double pace = kColdSafety * s_.cold_multiple * share * fleet_rate() / use;
--- /dev/null
+++ b/tests/policy_clock_test.cpp
@@ -0,0 +1,115 @@
+// Warm-up of workers when the wall clock that stamps their starts is stepped.
+#include <gtest/gtest.h>
+
+#include "rig.h"
+
+namespace robinfold::test {
+namespace {
+
+constexpr double kPhase = 4000;  // a quarter of the warm-up, in milliseconds
+constexpr int kPhases = 12;
+
+std::string worker_name(int number) { return "w" + std::to_string(number); }
+
+/// Plays a day of twelve phases of 4 s on four workers. In phases 2, 5 and 8 a worker restarts, in phases 3
+/// and 9 a new one starts, in phase 6 the whole list is sent again. From `stepped_at` on the clock that
+/// stamps starts is off by `step`. Returns what the invoker did.
+std::string play_day(int stepped_at, Millis step) {
+  Settings s = settings();
+  s.routers = 2;
+  Router r(s);
+  std::vector<WorkerEntry> entries;
+  for (int i = 0; i < 4; ++i) entries.push_back(entry(worker_name(i)));
+  entries[3].started = r.now - Millis(1000);
+  r.list(entries);
+  std::size_t answered = 0;
+  std::size_t ordered = 0;
+  int calls = 0;
+  for (int phase = 0; phase < kPhases; ++phase) {
+    const Millis stamp = r.now - Millis(700) + (phase >= stepped_at ? step : Millis(0));
+    if (phase % 3 == 2) {
+      WorkerEntry& restarted = entries[static_cast<std::size_t>(phase / 3)];
+      restarted.started = stamp;
+      r.list({restarted}, ListKind::delta);
+    }
+    if (phase % 6 == 3) {
+      entries.push_back(entry(worker_name(phase + 10), WorkerState::ready, stamp.count()));
+      r.list({entries.back()}, ListKind::delta);
+    }
+    if (phase == 6) r.list(entries);
+    for (double passed = 0; passed < kPhase; passed += 50) {
+      ++calls;
+      r.request("c" + std::to_string(calls), static_cast<std::uint64_t>(calls % 5));
+      for (; ordered < r.loads.size(); ++ordered) {
+        const action::Load order = r.loads[ordered];
+        r.loaded(order.worker, order.function, order.copies);
+      }
+      r.pass(50);
+      for (; answered < r.sends.size(); ++answered)
+        r.answer(action::Send(r.sends[answered]), Outcome::ok, 80);
+    }
+  }
+  EXPECT_FALSE(r.broken);
+  std::string actions;
+  for (const auto& send : r.sends) actions += send.id + '>' + send.worker + ' ';
+  for (const auto& load : r.loads) actions += std::to_string(load.function) + '@' + load.worker + ' ';
+  for (const auto& id : r.refused) actions += '-' + id;
+  return actions;
+}
+
+TEST(SteppedClock, ChangesNoActionFromAnyPhaseOfTheDayOn) {
+  const std::string steady = play_day(kPhases, Millis(0));
+  ASSERT_GT(steady.size(), 1000U);
+  for (const double step : {-3600e3, -5e3, 5e3, 3600e3}) {
+    for (int phase = 0; phase < kPhases; ++phase) {
+      EXPECT_TRUE(play_day(phase, Millis(step)) == steady) << step << " ms from phase " << phase << " on";
+    }
+  }
+}
+
+/// Calls sent in `seconds` at ten a second, each answered at once.
+std::size_t sent_within(Router& r, int seconds, const std::string& stem) {
+  const std::size_t before = r.sends.size();
+  for (int i = 0; i < seconds * 10; ++i) {
+    const std::size_t sent = r.sends.size();
+    r.request(stem + std::to_string(i));
+    if (r.sends.size() > sent) r.answer(action::Send(r.sends.back()), Outcome::ok);
+    r.pass(100);
+  }
+  return r.sends.size() - before;
+}
+
+TEST(SteppedClock, ARestartStampedBeforeTheLastOneIsARestart) {
+  Settings s = settings();
+  s.miss_is_answered = true;
+  Router r(s);
+  r.list({entry("a", WorkerState::ready, -20000)});
+  const std::size_t usual = sent_within(r, 3, "before");
+  ASSERT_GE(usual, 28U);
+  r.list({entry("a", WorkerState::ready, -90000)}, ListKind::delta);
+  EXPECT_LE(sent_within(r, 3, "after"), usual * 2 / 3);
+}
+
+TEST(SteppedClock, AStampAheadOfTheClockInTheFirstListCountsAsNow) {
+  Settings s = settings();
+  s.miss_is_answered = true;
+  Router r(s);
+  r.list({entry("a", WorkerState::ready, 3600e3)});
+  r.pass(s.cold_for.count());
+  EXPECT_GE(sent_within(r, 3, "x"), 28U);
+}
+
+TEST(SteppedClock, AnEntryWithoutAStampOrWithTheSameOneIsNoRestart) {
+  Settings s = settings();
+  s.miss_is_answered = true;
+  Router r(s);
+  r.list({entry("a", WorkerState::ready, -20000)});
+  ASSERT_GE(sent_within(r, 3, "before"), 28U);
+  for (const double stamp : {0.0, -20000.0}) {
+    r.list({entry("a", WorkerState::ready, stamp)}, ListKind::delta);
+    EXPECT_GE(sent_within(r, 3, "stamp" + std::to_string(stamp)), 28U);
+  }
+}
+
+}  // namespace
+}  // namespace robinfold::test
