--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -46,9 +46,12 @@
 constexpr double kLimitMost = 64;     // own calls at one worker at most: no known worker does more at once
 constexpr double kCrowded = 2;        // a stretch past this says that the worker's cores are oversubscribed
 constexpr Millis kBackOff{60};        // after a refusal of a worker: some service times
-constexpr double kShared = 20;        // with so many routers a function's agreed place is most likely warm
-constexpr int kLoadsOut = 4;          // a router's loads at once: more make a slow store slower
-constexpr double kPatience = 3;       // a load this many times the usual is no longer waited for
+constexpr Millis kLocalFaultBackoff{
+    40};                             // after a fault of this machine: a moment's want of descriptors or ports
+constexpr int kLocalFaultTries = 3;  // so often a request is sent elsewhere at once, then after the backoff
+constexpr double kShared = 20;       // with so many routers a function's agreed place is most likely warm
+constexpr int kLoadsOut = 4;         // a router's loads at once: more make a slow store slower
+constexpr double kPatience = 3;      // a load this many times the usual is no longer waited for
 constexpr double kSilentRuns = 6;   // a call out for this many usual runs is taken as lost, if that is longer
 constexpr double kAtOnce = 4;       // calls that a worker serves at once, about: more of them wait
 constexpr Millis kWatchPace{1000};  // pace of load news of a worker: reports are refreshed about as often
@@ -101,7 +104,8 @@
   Millis up_since{kNever};
   Millis doubted{kNever};  // since when a broken connection leaves open whether it runs
   bool doubted_reset = false;
-  int probes_lost = 0;  // since that
+  int probes_lost = 0;               // since that
+  Millis local_fault_until{kNever};  // a fault of this machine met a call or order to it
   double limit = kLimitFirst, waiting = 0, stretch = 1, cold_tokens = 0;
   std::vector<Health> classes;
 };
@@ -111,13 +115,14 @@
   Millis first_try{0};          // what a first try is given: what most tries are, `alike` more than others
   int alike = 0;
 };
-enum class AttemptState { out, never_ran, may_have_run };
+enum class AttemptState { out, not_sent, never_ran, may_have_run };
 struct Attempt {
   int worker = 0;
   Millis sent{0};
   AttemptState state = AttemptState::out;
   bool proven = false, first = false;  // as sent: the copy was known to stand; it was the only call there
   bool lost = false;                   // out for so long that it counts as unanswered
+  double cold_cost = 0;                // taken from the budget of a worker that is warming up
 };
 struct Request {
   std::string id;
@@ -127,6 +132,9 @@
   Millis deadline{0}, aim_at{0};
   bool done = false, streaming = false;
   std::vector<Attempt> attempts;
+  int not_sent = 0;           // of the attempts, those that a fault of this machine kept from leaving
+  Millis not_before{kNever};  // such faults let it go again no sooner
+  int attempts_sent() const { return static_cast<int>(attempts.size()) - not_sent; }
   bool out() const {  // one at a time
     return !attempts.empty() && attempts.back().state == AttemptState::out;
   }
@@ -175,6 +183,11 @@
   std::vector<ClassRecord> classes_;  // by slot
   Average any_run_, any_load_, peer_calls_, core_use_;
   std::uint64_t next_serial_ = 1;
+  struct ProbeAgain {
+    Millis at{0};
+    std::string worker;
+  };
+  std::deque<ProbeAgain> ask_again_;                       // in order of time
   std::deque<Millis> taken_, ordered_;                     // for the load ration
   double served_ = 0, fleet_stretch_ = 1, own_calls_ = 0;  // own_calls_: of late, decaying
   int loads_out_ = 0, list_version_ = 0;
@@ -217,6 +230,7 @@
   bool open(const Worker& w, const Health& h) const {  // on probation: one call at a time
     return now_ >= h.ejected_until && !(h.probation && w.inflight > 0);
   }
+  bool backs_off(const Worker& w) const { return now_ < w.local_fault_until; }  // says nothing of the worker
   bool usable(const Worker& w) const {
     return w.state == WorkerState::ready && open(w, w) && !silent(w) && now_ - w.doubted > kSilence;
   }
@@ -339,6 +353,11 @@
     w.probes_lost = 0;
     ask(w);
   }
+  // The network gave up on a connection; that says less than a reset: its process may well run on.
+  void doubt_network(Worker& w) {
+    if (s_.probes && w.state == WorkerState::ready) return doubt(w, false);
+    eject(w);
+  }
   void ask(Worker& w) {
     w.doubted = now_;
     act(action::Probe{w.worker});
@@ -479,7 +498,10 @@
   }
   Request* head(Function& f) {  // the first that can still meet its aim, else the first
     if (f.queue.empty()) return nullptr;
-    const auto fits = [&](std::uint64_t serial) { return in_aim(requests_.at(serial)); };
+    const auto fits = [&](std::uint64_t serial) {
+      const Request& r = requests_.at(serial);
+      return in_aim(r) && now_ >= r.not_before;
+    };
     const auto found = std::find_if(f.queue.begin(), f.queue.end(), fits);
     return &requests_.at(found == f.queue.end() ? f.queue.front() : *found);
   }
@@ -515,6 +537,7 @@
     for (const auto& c : f.copies) {
       const Worker& w = worker(c);
       if (!usable(w) || !serves(w, f.cls) || !worth_sending(r, w) || now_ < w.full_until) continue;
+      if (backs_off(w)) continue;
       const int copies = (warm(c) ? c.standing : 0) + c.loading;
       const int room = std::max(0, static_cast<int>(std::ceil(w.limit)) - w.inflight);
       k += std::min(copies * f.lanes, c.busy + room);
@@ -603,7 +626,7 @@
     Request* r = head(f);
     // With many routers the agreed place is most likely warm; with few this would be a load past the window.
     const bool rationed = !s_.orders || !may_order();
-    if (s_.miss_is_answered ? r->attempts.empty() && !f.missed : shared() || rationed) {
+    if (s_.miss_is_answered ? r->attempts_sent() == 0 && !f.missed : shared() || rationed) {
       if (!may_send(*r, w)) return;
       c.standing = 1;
       send(*r, c);
@@ -639,7 +662,7 @@
   bool may_repeat(const Request& r, const Worker* to) const {  // rule 2, for a further send or a refusal
     const ClassSettings* c = class_of(r);
     for (const auto& a : r.attempts) {
-      if (a.state == AttemptState::never_ran) continue;
+      if (a.state == AttemptState::never_ran || a.state == AttemptState::not_sent) continue;
       if (c == nullptr || c->semantics == Semantics::once) return false;
       if (c->semantics == Semantics::repeatable) continue;
       if (now_ - a.sent + s_.tick > c->key_window) return false;
@@ -652,7 +675,8 @@
   }
   bool has_room(const Worker& w) const { return w.inflight < w.limit && now_ >= w.full_until; }
   bool may_send(const Request& r, Worker& w) {
-    const bool spent = static_cast<int>(r.attempts.size()) >= s_.max_attempts;
+    const bool spent = r.attempts_sent() >= s_.max_attempts;
+    if (now_ < r.not_before || backs_off(w)) return false;
     if (r.done || r.streaming || now_ >= r.deadline || spent || (!s_.second_copies && r.out())) return false;
     return usable(w) && serves(w, r.cls) && may_repeat(r, &w) && may_warm(r, w);
   }
@@ -677,7 +701,7 @@
     const ClassSettings* c = class_of(r);  // before any answer an aim is taken as four times the work
     return work > 0 ? work : std::max({any_run_.value, c != nullptr ? c->aim.count() / 4 : 0, 1.0});
   }
-  bool may_load(const Worker& w) const { return usable(w) && loads_out_ < kLoadsOut; }
+  bool may_load(const Worker& w) const { return usable(w) && !backs_off(w) && loads_out_ < kLoadsOut; }
   void forget_taken() {
     while (!taken_.empty() && now_ - taken_.front() >= s_.load_window) taken_.pop_front();
   }
@@ -699,7 +723,9 @@
     w.opening += shared() && !c.proven;
     ++c.busy;
     c.used = now_;
-    if (cold(w)) w.cold_tokens -= work_of(r);
+    if (!cold(w)) return;
+    r.attempts.back().cold_cost = work_of(r);
+    w.cold_tokens -= r.attempts.back().cold_cost;
   }
   void finish(Request& r) {
     unhold(r);
@@ -796,7 +822,7 @@
     if (e.attempt < 0 || e.attempt >= static_cast<int>(r.attempts.size())) return;
     Attempt& a = r.attempts[static_cast<std::size_t>(e.attempt)];
     if (a.state != AttemptState::out) return;
-    a.state = proves_never_ran(e.outcome) ? AttemptState::never_ran : AttemptState::may_have_run;
+    a.state = state_after(e.outcome);
     Function& f = *r.function;
     const int index = a.worker;
     Worker& w = at(index);
@@ -804,10 +830,14 @@
     w.inflight = std::max(0, w.inflight - 1);
     w.opening -= shared() && !a.proven;
     c.busy = std::max(0, c.busy - 1);
-    if (e.outcome != Outcome::timeout && e.outcome != Outcome::cancelled) w.heard = now_;
+    if (heard_from(e.outcome)) w.heard = now_;
     if (e.outcome == Outcome::ok || e.outcome == Outcome::full || e.outcome == Outcome::miss) note_alive(w);
-    read_report(w, e.report);
-    learn(f, w, c, r, e);
+    if (e.outcome == Outcome::not_sent) {
+      take_back(r, a, w, c);
+    } else {
+      read_report(w, e.report);
+      learn(f, w, c, r, e);
+    }
     if (e.over || r.done) {
       finish(r);
     } else if (!r.out() && !r.streaming) {
@@ -815,6 +845,27 @@
     }
     handoff(f, index);
   }
+  static AttemptState state_after(Outcome outcome) {
+    if (outcome == Outcome::not_sent) return AttemptState::not_sent;
+    return proves_never_ran(outcome) ? AttemptState::never_ran : AttemptState::may_have_run;
+  }
+  static bool heard_from(Outcome outcome) {
+    switch (outcome) {
+      case Outcome::timeout:
+      case Outcome::cancelled:
+      case Outcome::not_sent:
+      case Outcome::unreachable: return false;
+      default: return true;
+    }
+  }
+  // A fault of this machine kept the attempt from leaving: it changes no belief and counts as no attempt. Its
+  // request may go elsewhere at once, but not without end: the same fault is likely to meet it there.
+  void take_back(Request& r, const Attempt& a, Worker& w, Copy& c) {
+    w.cold_tokens += a.cold_cost;
+    if (!a.proven && !c.proven && c.busy == 0) c.standing = 0;  // was believed for this attempt alone
+    w.local_fault_until = now_ + kLocalFaultBackoff;
+    if (++r.not_sent % kLocalFaultTries == 0) r.not_before = now_ + kLocalFaultBackoff;
+  }
   void learn(Function& f, Worker& w, Copy& c, const Request& r, const event::Answer& e) {
     const double elapsed = std::max(e.elapsed.count(), 0.0);
     switch (e.outcome) {
@@ -856,6 +907,7 @@
         break;
       case Outcome::connect_failed:
       case Outcome::reset: doubt(w, e.outcome == Outcome::reset); break;
+      case Outcome::unreachable: doubt_network(w); break;
       case Outcome::error:
       case Outcome::timeout:
         // Danger: calls of functions that no worker knows fail wherever they go: one tells, at most.
@@ -883,7 +935,7 @@
     any_load_.add(ms, kLoadGain / 4, kOutlier);
   }
   void try_again(Request& r) {
-    const bool spent = static_cast<int>(r.attempts.size()) >= s_.max_attempts;
+    const bool spent = r.attempts_sent() >= s_.max_attempts;
     const auto fit = [&](const Worker& w) { return may_repeat(r, &w); };
     const bool any = std::any_of(workers_.begin(), workers_.end(), fit);
     if (spent || (!any && !may_repeat(r, nullptr)) || !worth_holding(r)) return give_up(r);
@@ -896,6 +948,7 @@
     if (!live_ || found == function_index_.end() || w == nullptr) return;
     Function& f = *found->second;
     Copy& c = copy_at(f, index_of(*w));
+    if (e.outcome == Outcome::not_sent) return order_not_sent(f, *w, c);
     if (c.loading > 0) {
       end_load(c);
       if (e.outcome == Outcome::ok) note_load(f, std::max(e.elapsed.count(), 1.0));
@@ -905,6 +958,8 @@
     }
     if (e.outcome == Outcome::connect_failed || e.outcome == Outcome::reset) {
       doubt(*w, e.outcome == Outcome::reset);
+    } else if (e.outcome == Outcome::unreachable) {
+      doubt_network(*w);
     } else if (e.outcome != Outcome::timeout) {
       c.standing = std::min(std::max(e.copies, 0), 16);
       c.proven = c.standing > 0;
@@ -912,6 +967,15 @@
     }
     consider(f);
   }
+  // A fault of this machine: the order ends, takes nothing from the ration and is given again after a
+  // backoff.
+  void order_not_sent(Function& f, Worker& w, Copy& c) {
+    const auto counted = std::find(ordered_.begin(), ordered_.end(), c.load_began);
+    if (c.loading > 0 && counted != ordered_.end()) ordered_.erase(counted);
+    end_load(c);
+    w.local_fault_until = f.order_after = now_ + kLocalFaultBackoff;
+    consider(f);
+  }
   // Danger: impatient clients leave and come back while the worker still serves what nobody waits for.
   void on(const event::Left& e) {
     Request* r = find_request(e.id);
@@ -946,6 +1010,13 @@
     if (!live_ || w == nullptr) return;
     const Millis asked = std::exchange(w->doubted, kNever);
     const bool doubted = asked > kNever;
+    if (e.outcome == Outcome::not_sent) {
+      // What has answered meanwhile runs; else the question stays open and is put again.
+      if (!doubted || w->answered > asked) return;
+      w->doubted = now_;
+      ask_again_.push_back({now_ + kLocalFaultBackoff, e.worker});
+      return;
+    }
     if (e.outcome == Outcome::ok) {
       note_alive(*w);
       read_report(*w, e.report);
@@ -954,10 +1025,20 @@
       if (w->answered > asked) return;
       if (++w->probes_lost < kProbesLost) return ask(*w);
       unreachable(*w, w->doubted_reset);
+    } else if (e.outcome == Outcome::unreachable) {
+      doubt_network(*w);
     } else if (!alive(*w)) {
       lose(*w, true);
     }
   }
+  // Probes of suspect workers that a fault of this machine kept from leaving.
+  void repeat_probes() {
+    while (!ask_again_.empty() && now_ >= ask_again_.front().at) {
+      Worker* w = find_worker(ask_again_.front().worker);
+      ask_again_.pop_front();
+      if (w != nullptr && w->doubted > kNever && w->state == WorkerState::ready) ask(*w);
+    }
+  }
   void on(const event::Stop&) { *this = State(); }
   void on(const event::Timer& e) {
     if (!live_) return;
@@ -975,6 +1056,7 @@
     }
     for (auto& f : functions_) upkeep(*f);
     find_lost();
+    repeat_probes();
     watch_loads();
     pump_all();
     for (auto& f : functions_) shed(*f);
--- /dev/null
+++ b/tests/policy_local_fault_test.cpp
@@ -0,0 +1,264 @@
+// Outcomes that tell of this machine or of the network, and not of the worker: not_sent and unreachable.
+#include <gtest/gtest.h>
+
+#include "rig.h"
+
+namespace robinfold::test {
+namespace {
+
+/// Workers load what they lack by themselves, so that every request is sent somewhere at once.
+Settings self_loading() {
+  Settings s = settings();
+  s.miss_is_answered = true;
+  return s;
+}
+
+void warm_up(Router& r, const std::string& id = "first") {
+  r.request(id);
+  r.answer(action::Send(r.sends.back()), Outcome::ok);
+}
+
+TEST(NotSent, GoesToAnotherWorkerAtOnceAndCountsAsNoAttempt) {
+  for (const char* cls : {"safe", "keyed", "unsafe"}) {
+    Settings s = self_loading();
+    s.max_attempts = 1;
+    Router r(s);
+    r.list({entry("a"), entry("b")});
+    r.request("x", 1, cls);
+    ASSERT_EQ(r.sends.size(), 1U);
+    r.answer(action::Send(r.sends[0]), Outcome::not_sent);
+    ASSERT_EQ(r.sends.size(), 2U) << cls;
+    EXPECT_EQ(r.sends[1].id, "x");
+    EXPECT_NE(r.sends[1].worker, r.sends[0].worker);
+    r.answer(action::Send(r.sends[1]), Outcome::ok);
+    EXPECT_TRUE(r.failed.empty() && r.refused.empty());
+  }
+}
+
+TEST(NotSent, GoesToTheOnlyWorkerAfterABackoff) {
+  Settings s = self_loading();
+  s.max_attempts = 1;
+  Router r(s);
+  r.list({entry("a")});
+  warm_up(r);
+  r.request("x");
+  r.answer(action::Send(r.sends.back()), Outcome::not_sent);
+  EXPECT_EQ(r.sends.size(), 2U);
+  r.pass(100);
+  ASSERT_EQ(r.sends.size(), 3U);
+  EXPECT_EQ(r.sends[2].id, "x");
+}
+
+// A worker is judged by none of them: it is not ejected, asked for or taken for silent or stretched.
+TEST(NotSent, SaysNothingOfTheWorker) {
+  Settings s = self_loading();
+  s.probes = true;
+  s.peers = true;
+  s.routers = 2;
+  Router r(s);
+  r.list({entry("a")});
+  warm_up(r);
+  const auto before = r.policy.tally();
+  for (int i = 0; i < 20; ++i) {
+    r.request("x" + std::to_string(i), 1, "unsafe");
+    r.answer(action::Send(r.sends.back()), Outcome::not_sent, 0);
+    r.pass(100);
+    ASSERT_EQ(r.sends.back().id, "x" + std::to_string(i));
+    r.answer(action::Send(r.sends.back()), Outcome::ok);
+  }
+  EXPECT_TRUE(r.probes.empty());
+  const auto after = r.policy.tally();
+  for (const char* name : {"now.unusable", "now.sum_limit", "now.run_ms", "now.load_ms"}) {
+    EXPECT_EQ(after.at(name), before.at(name)) << name;
+  }
+  EXPECT_TRUE(r.failed.empty() && r.refused.empty());
+}
+
+// A worker that answers nothing is as silent as before, though calls to it fail to leave meanwhile.
+TEST(NotSent, IsNoSignOfLife) {
+  Router r(self_loading());
+  r.list({entry("a")});
+  warm_up(r);
+  r.request("out");
+  r.request("x");
+  std::size_t seen = 2;
+  for (; r.now < Millis(1640); r.pass(20)) {  // 600 ms, six runs, count as silence
+    for (; seen < r.sends.size(); ++seen) r.answer(action::Send(r.sends[seen]), Outcome::not_sent);
+  }
+  EXPECT_GE(seen, 10U);
+  EXPECT_EQ(r.policy.tally().at("now.unusable"), 1);
+}
+
+TEST(NotSent, ReturnsWhatItTookOfTheBudgetOfAWarmingWorker) {
+  const auto served = [](int faults) {
+    Router r(self_loading());
+    r.list({entry("a", WorkerState::ready, 990)});
+    int ok = 0;
+    for (std::size_t i = 0, seen = 0; i < 100; ++i) {
+      r.request("x" + std::to_string(i), 1, "unsafe", 900);
+      r.pass(50);
+      for (; seen < r.sends.size(); ++seen) {
+        const bool fault = faults-- > 0;
+        ok += !fault;
+        r.answer(action::Send(r.sends[seen]), fault ? Outcome::not_sent : Outcome::ok);
+      }
+      r.pass(50);
+    }
+    return ok;
+  };
+  EXPECT_GE(served(10), served(0) - 5);  // ten backoffs take the time of a few calls, not their budget
+}
+
+TEST(NotSent, ALastingFaultDoesNotSpin) {
+  constexpr int kRequests = 10;
+  for (const bool shared : {false, true}) {
+    Settings s = self_loading();
+    if (shared) s.routers = 100;
+    Router r(s);
+    std::vector<WorkerEntry> workers;
+    for (int i = 0; i < 40; ++i) workers.push_back(entry("w" + std::to_string(i)));
+    r.list(workers);
+    for (int i = 0; i < kRequests; ++i) r.request("x" + std::to_string(i), static_cast<std::uint64_t>(i));
+    for (std::size_t answered = 0; r.now < Millis(3000); r.pass(5)) {
+      // Faults that come in the same moment as what they answer must end by themselves.
+      for (; answered < r.sends.size() && answered < 100000; ++answered) {
+        r.answer(action::Send(r.sends[answered]), Outcome::not_sent, 0);
+      }
+    }
+    // Each request lives for its aim of 1000 ms and is sent three times in each 40 ms at most.
+    EXPECT_LE(r.sends.size(), kRequests * 3U * 26U);
+    EXPECT_GE(r.sends.size(), kRequests * 10U);
+    EXPECT_EQ(r.refused.size(), static_cast<std::size_t>(kRequests));
+    EXPECT_FALSE(r.broken);
+  }
+}
+
+TEST(NotSent, AnOrderIsGivenAgainAfterABackoffAndTakesNothingFromTheRation) {
+  Settings s = settings();
+  s.load_window = Millis(5000);
+  s.load_floor = 1;
+  Router r(s);
+  r.list({entry("a")});
+  r.request("x");
+  ASSERT_EQ(r.loads.size(), 1U);
+  for (std::size_t i = 1; i <= 3; ++i) {
+    r.loaded("a", 1, 0, Outcome::not_sent);
+    ASSERT_EQ(r.loads.size(), i) << "none at once";
+    r.pass(80);
+    ASSERT_EQ(r.loads.size(), i + 1);
+  }
+  r.loaded("a", 1, 1);
+  EXPECT_EQ(r.sends.size(), 1U);
+}
+
+TEST(NotSent, AnOrderChangesNoBelief) {
+  Router r;
+  r.list({entry("a")});
+  r.request("x", 1, "safe", 4000, 1);
+  r.loaded("a", 1, 1);
+  ASSERT_EQ(r.sends.size(), 1U);
+  r.answer(action::Send(r.sends[0]), Outcome::ok);
+  r.loaded("a", 1, 0, Outcome::not_sent);
+  r.pass(100);
+  r.request("y", 1, "safe", 4000, 1);
+  EXPECT_EQ(r.sends.size(), 2U) << "the instance still stands";
+}
+
+TEST(NotSent, ASuspectWorkerStaysSuspectUntilItsProbeHasLeft) {
+  for (const Outcome then : {Outcome::ok, Outcome::reset}) {
+    Settings s = self_loading();
+    s.probes = true;
+    Router r(s);
+    r.list({entry("a")});
+    warm_up(r);
+    r.request("x");
+    r.answer(action::Send(r.sends.back()), Outcome::reset);
+    ASSERT_EQ(r.probes.size(), 1U);
+    for (int i = 0; i < 10; ++i) {
+      const std::size_t asked = r.probes.size();
+      r.give(event::Probed{"a", Outcome::not_sent, Millis(0), std::nullopt});
+      EXPECT_EQ(r.probes.size(), asked) << "none at once";
+      r.pass(80);
+      ASSERT_EQ(r.probes.size(), asked + 1);
+      EXPECT_EQ(r.sends.size(), 2U) << "nothing goes to a suspect worker";
+    }
+    // Three probes that have left are needed to mark it down, one that is answered to clear it.
+    r.give(event::Probed{"a", then, Millis(1), std::nullopt});
+    r.pass(40);
+    const bool clear = then == Outcome::ok;
+    EXPECT_EQ(r.sends.size(), clear ? 3U : 2U);
+    EXPECT_EQ(r.probes.size(), clear ? 11U : 12U);
+  }
+}
+
+TEST(NotSent, APlainProbeTellsNothing) {
+  Settings s = self_loading();
+  s.probes = true;
+  Router r(s);
+  r.list({entry("a")});
+  warm_up(r);
+  r.pass(2000);  // it has not answered for so long that a failed probe would count as a loss
+  r.give(event::Probed{"a", Outcome::not_sent, Millis(0), std::nullopt});
+  r.pass(100);
+  EXPECT_TRUE(r.probes.empty());
+  for (int i = 0; i < 10; ++i) {
+    r.request("x" + std::to_string(i));
+    ASSERT_EQ(r.sends.size(), static_cast<std::size_t>(i) + 2);
+    r.answer(action::Send(r.sends.back()), Outcome::ok);
+  }
+}
+
+TEST(Unreachable, MayHaveRunAndMakesItsWorkerSuspect) {
+  for (const char* cls : {"safe", "unsafe"}) {
+    Settings s = self_loading();
+    s.probes = true;
+    Router r(s);
+    r.list({entry("a")});
+    warm_up(r);
+    r.request("x", 1, cls);
+    r.answer(action::Send(r.sends.back()), Outcome::unreachable);
+    EXPECT_EQ(r.probes, std::vector<std::string>{"a"});
+    const bool once = std::string(cls) == "unsafe";
+    EXPECT_EQ(r.failed.size(), once ? 1U : 0U);
+    r.pass(50);
+    EXPECT_EQ(r.sends.size(), 2U);
+    r.give(event::Probed{"a", Outcome::ok, Millis(1), std::nullopt});
+    r.pass(50);
+    EXPECT_EQ(r.sends.size(), once ? 2U : 3U);
+  }
+}
+
+// A reset of a worker that was heard of a moment ago says that its process died: when it answers again it is
+// warming up. That the network gave up does not, with probes or without.
+TEST(Unreachable, IsNoRestart) {
+  const auto sent_after = [](Outcome outcome, bool probes) {
+    Settings s = self_loading();
+    s.probes = probes;
+    Router r(s);
+    r.list({entry("a")});
+    warm_up(r);
+    r.pass(2000);
+    warm_up(r, "second");
+    r.request("x", 1, "unsafe");
+    r.answer(action::Send(r.sends.back()), outcome);
+    if (probes) { r.give(event::Probed{"a", Outcome::ok, Millis(1), std::nullopt}); }
+    r.pass(1500);
+    int sent = 0;
+    for (int i = 0; i < 30; ++i) {
+      const std::size_t before = r.sends.size();
+      r.request("y" + std::to_string(i));
+      if (r.sends.size() > before) {
+        ++sent;
+        r.answer(action::Send(r.sends.back()), Outcome::ok);
+      }
+      r.pass(100);
+    }
+    return sent;
+  };
+  EXPECT_EQ(sent_after(Outcome::unreachable, true), 30);
+  EXPECT_EQ(sent_after(Outcome::unreachable, false), 30);
+  EXPECT_LT(sent_after(Outcome::reset, false), 20);
+}
+
+}  // namespace
+}  // namespace robinfold::test
