--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -2,7 +2,6 @@
 
 #include <sys/stat.h>
 
-#include <chrono>
 #include <fstream>
 #include <functional>
 #include <iterator>
@@ -21,8 +20,6 @@
 using nlohmann::json;
 
 constexpr std::size_t kMaxQuoted = 200;  // bytes of the file in a fault
-// A file changed so lately may change again without another time of change or size.
-constexpr std::chrono::seconds kRecent{2};
 
 // The JSON form of a protobuf message may name its fields in either way.
 const json& either(const json& object, const char* snake, const char* camel) {
@@ -135,38 +132,39 @@
       told_(std::move(told)),
       rejected_(std::move(rejected)) {}
 
-HostFile::Stamp HostFile::stamp() const {
+// Tells one writing of the file from the next; empty if there is no file.
+std::string HostFile::stamp() const {
   struct stat at {};
   if (stat(path_.c_str(), &at) != 0) return {};
-  Stamp stamp;
-  stamp.text = std::to_string(at.st_ino) + ' ' + std::to_string(at.st_size) + ' ' +
-               std::to_string(at.st_mtim.tv_sec) + ' ' + std::to_string(at.st_mtim.tv_nsec);
-  const auto changed = std::chrono::system_clock::from_time_t(at.st_mtim.tv_sec);
-  stamp.recent = std::chrono::system_clock::now() - changed < kRecent;
-  return stamp;
+  return std::to_string(at.st_ino) + ' ' + std::to_string(at.st_size) + ' ' +
+         std::to_string(at.st_mtim.tv_sec) + ' ' + std::to_string(at.st_mtim.tv_nsec);
 }
 
 bool HostFile::start(std::string& fault) {
-  stamp_ = stamp();
+  watch_.needs_reading(stamp(), loop_.now());
   const bool good = read(fault);
+  watch_.read_done(good, loop_.now());
   timer_ = loop_.at(loop_.now() + pace_, [this] { look(); });
   return good;
 }
 
 bool HostFile::move(const std::string& path, const std::string& cluster, std::string& fault) {
-  const auto before = std::make_pair(path_, cluster_);
+  const auto before = std::make_tuple(path_, cluster_, version_, fault_);
   path_ = path;
   cluster_ = cluster;
-  const Stamp now = stamp();
+  FileWatch watch;
+  watch.needs_reading(stamp(), loop_.now());
   if (!read(fault)) {
-    std::tie(path_, cluster_) = before;
+    std::tie(path_, cluster_, version_, fault_) = before;
     return false;
   }
-  stamp_ = now;
+  watch.read_done(true, loop_.now());
+  watch_ = watch;
   return true;
 }
 
 bool HostFile::read(std::string& fault) {
+  counters_.add("xds.reads");
   std::ifstream in(path_, std::ios::binary);
   const std::string content((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
   const std::string version = cluster_ + ' ' + std::to_string(content.size()) + ' ' +
@@ -202,13 +200,12 @@
 
 void HostFile::look() {
   timer_ = loop_.at(loop_.now() + pace_, [this] { look(); });
-  const Stamp now = stamp();
-  if (now.text.empty()) return;  // a file that is just being replaced comes back
-  const bool changed = now.text != stamp_.text;
-  if (!changed && !stamp_.recent) return;
-  stamp_ = now;
+  if (!watch_.needs_reading(stamp(), loop_.now())) return;
+  const bool changed = watch_.changed();
   std::string fault;
-  if (!read(fault) && changed && rejected_) rejected_(fault);
+  const bool good = read(fault);
+  watch_.read_done(good, loop_.now());
+  if (!good && changed && rejected_) rejected_(fault);
 }
 
 }  // namespace lotusyard::xds
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -10,6 +10,7 @@
 #include "core/counters.h"
 #include "core/member.h"
 #include "net/loop.h"
+#include "xds/file_watch.h"
 
 namespace lotusyard::xds {
 
@@ -39,17 +40,13 @@
   Told told_;
   Rejected rejected_;  // of a file that has changed and cannot be read
   net::Loop::TimerId timer_{};
-  struct Stamp {  // what tells one writing of the file from the next
-    std::string text;
-    bool recent = false;  // a further writing may bear the same text
-  };
-  Stamp stamp_;
+  FileWatch watch_;
   std::string version_;  // of what was read last: cluster, size and hash of the file
   std::string fault_;    // of that; empty: it is in force
   bool read_once_ = false;
   std::map<std::string, core::Millis> started_;  // of the hosts on the last list
 
-  Stamp stamp() const;
+  std::string stamp() const;
   bool read(std::string& fault);
   std::string take(const std::string& content);
   void look();
--- /dev/null
+++ b/tests/lotusyard/clock_test.cpp
@@ -0,0 +1,99 @@
+// Waits and windows are spans of real time, whatever the wall clock says.
+#include <fcntl.h>
+#include <sys/stat.h>
+
+#include <catch2/catch.hpp>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <vector>
+
+#include "core/counters.h"
+#include "net/loop.h"
+#include "support/settings.h"
+#include "support/temporary_path.h"
+#include "xds/file_watch.h"
+#include "xds/hosts.h"
+
+namespace lotusyard::test {
+namespace {
+
+constexpr double kHourMs = 3600e3;
+
+std::string list_of(int port) {
+  return R"({"cluster_name":"bins","endpoints":[{"lb_endpoints":[{"endpoint":{"address":{"socket_address":)"
+         R"({"address":"127.0.0.1","port_value":)" +
+         std::to_string(port) + "}}}}]}]}";
+}
+
+// Gives a file the times that a writer would leave whose wall clock is off by so many seconds.
+void set_times(const std::string& path, const timespec& at, long offset_s) {
+  timespec moved = at;
+  moved.tv_sec += offset_s;
+  const timespec times[] = {moved, moved};
+  REQUIRE(utimensat(AT_FDCWD, path.c_str(), times, 0) == 0);
+}
+
+TEST_CASE("an xDS file written twice under one stamp is read again, whatever wall clock the stamp is of") {
+  for (const long offset_s : {-3600L, -5L, 0L, 5L, 3600L}) {
+    CAPTURE(offset_s);
+    net::Loop loop;
+    core::Counters counters;
+    const TemporaryPath path;
+    path.write(list_of(1));
+    struct stat first {};
+    REQUIRE(stat(path.file().c_str(), &first) == 0);
+    set_times(path.file(), first.st_mtim, offset_s);
+    std::vector<core::MemberList> updates;
+    xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
+                       [&](const core::MemberList& list) { updates.push_back(list); });
+    std::string fault;
+    REQUIRE(file.start(fault));
+    path.write(list_of(2));
+    set_times(path.file(), first.st_mtim, offset_s);
+    for (int i = 0; i < 200 && updates.size() < 2; ++i) loop.turn(loop.now() + Millis(20), [] {});
+    REQUIRE(updates.size() == 2);
+    CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
+  }
+}
+
+// The number of readings in 60 s of looks every half second, of a file whose stamp stays as it is.
+int readings_of(xds::FileWatch& watch, Millis start, bool succeeds) {
+  int readings = 0;
+  for (Millis now = start; now < start + Millis(60000); now += Millis(500)) {
+    if (!watch.needs_reading("1 100 5 0", now)) continue;
+    ++readings;
+    watch.read_done(succeeds, now);
+  }
+  return readings;
+}
+
+TEST_CASE("a file that stays as it is is read for a settling time, and then no more") {
+  for (const double start : {0.0, -kHourMs, kHourMs}) {
+    xds::FileWatch watch;
+    CHECK(readings_of(watch, Millis(start), true) == 5);  // at 0, 0.5, 1, 1.5 and 2 s
+  }
+}
+
+TEST_CASE("a file is read once more when its settling time has passed, however late the look") {
+  xds::FileWatch watch;
+  CHECK(watch.needs_reading("a", Millis(0)));
+  watch.read_done(true, Millis(0));
+  CHECK(watch.needs_reading("a", Millis(kHourMs)));
+  watch.read_done(true, Millis(kHourMs));
+  CHECK_FALSE(watch.needs_reading("a", Millis(kHourMs + 500)));
+  CHECK_FALSE(watch.needs_reading("", Millis(kHourMs + 1000)));
+  CHECK(watch.needs_reading("b", Millis(kHourMs + 1500)));
+  CHECK(watch.changed());
+}
+
+TEST_CASE("a reading that failed is repeated with backoff, for as long as it fails") {
+  xds::FileWatch watch;
+  // 5 in the settling time, then after pauses of 0.5, 1, 2, 4 and then 8 s.
+  CHECK(readings_of(watch, Millis(0), false) == 15);
+  CHECK(watch.needs_reading("1 100 5 0", Millis(kHourMs)));
+  watch.read_done(true, Millis(kHourMs));
+  CHECK_FALSE(watch.needs_reading("1 100 5 0", Millis(2 * kHourMs)));
+}
+
+}  // namespace
+}  // namespace lotusyard::test
