--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -186,9 +186,13 @@
   const auto callback = [&events](int depth, json::parse_event_t event, json& parsed) {
     return events(depth, event, parsed);
   };
-  auto document = json::parse(in, callback, false);
-  if (!document.is_object()) fault(path, "holds no JSON object");
-  return {std::move(document), events.take_events()};
+  try {
+    auto document = json::parse(in, callback, false);
+    if (!document.is_object()) fault(path, "holds no JSON object");
+    return {std::move(document), events.take_events()};
+  } catch (const std::ios_base::failure&) {  // a read that fails, whatever the stream's state is to tell
+    fault(path, "cannot be read");
+  }
 }
 
 Config read_config(ConfigFile config_file, const std::string& name, const std::string& listen) {
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -2,12 +2,11 @@
 
 #include <sys/stat.h>
 
-#include <fstream>
 #include <functional>
-#include <iterator>
 #include <set>
 #include <tuple>
 
+#include "config/file_read.h"
 #include "config/json_read.h"
 #include "net/socket.h"
 
@@ -165,13 +164,16 @@
 
 bool HostFile::read(std::string& fault) {
   counters_.add("xds.reads");
-  std::ifstream in(path_, std::ios::binary);
-  const std::string content((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-  const std::string version = cluster_ + ' ' + std::to_string(content.size()) + ' ' +
-                              std::to_string(std::hash<std::string>()(content));
+  const std::optional<std::string> content = config::read_file(path_);
+  if (!content) {
+    fault = "cannot be read";
+    return false;
+  }
+  const std::string version = cluster_ + ' ' + std::to_string(content->size()) + ' ' +
+                              std::to_string(std::hash<std::string>()(*content));
   if (version != version_) {
     version_ = version;
-    fault_ = take(content);
+    fault_ = take(*content);
     counters_.add(fault_.empty() ? "xds.lists" : "xds.rejected");
   }
   fault = fault_;
--- a/tests/lotusyard/clock_test.cpp
+++ b/tests/lotusyard/clock_test.cpp
@@ -95,5 +95,57 @@
   CHECK_FALSE(watch.needs_reading("1 100 5 0", Millis(2 * kHourMs)));
 }
 
+// An exception of the stream library left the loop, and with it the program.
+TEST_CASE("an xDS file that fails to be read leaves the list in force, and is read once it can be") {
+  net::Loop loop;
+  core::Counters counters;
+  const TemporaryPath path;
+  path.write(list_of(1));
+  std::vector<core::MemberList> updates;
+  std::vector<std::string> faults;
+  xds::HostFile file(
+      loop, counters, path.file(), "bins", Millis(5),
+      [&](const core::MemberList& list) { updates.push_back(list); },
+      [&](const std::string& fault) { faults.push_back(fault); });
+  std::string fault;
+  REQUIRE(file.start(fault));
+  const auto turn_until = [&](const auto& until) {
+    for (int i = 0; i < 2000 && !until(); ++i) loop.turn(loop.now() + Millis(5), [] {});
+    return until();
+  };
+  path.make_unreadable();
+  REQUIRE(turn_until([&] { return !faults.empty(); }));
+  CHECK(faults[0] == "cannot be read");
+  CHECK_FALSE(file.move(path.file(), "bins", fault));
+  CHECK(updates.size() == 1);
+  path.remove();
+  CHECK_FALSE(file.move(path.file(), "bins", fault));
+  path.write(list_of(2));
+  REQUIRE(turn_until([&] { return updates.size() == 2; }));
+  CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
+}
+
+TEST_CASE("an xDS file that breaks off at any byte changes nothing") {
+  net::Loop loop;
+  core::Counters counters;
+  const TemporaryPath path;
+  path.write(list_of(1));
+  std::vector<core::MemberList> updates;
+  xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
+                     [&](const core::MemberList& list) { updates.push_back(list); });
+  std::string fault;
+  REQUIRE(file.start(fault));
+  const std::string next = list_of(2);
+  for (std::size_t bytes = 0; bytes < next.size(); ++bytes) {
+    path.write(next.substr(0, bytes));
+    CHECK_FALSE(file.move(path.file(), "bins", fault));
+    CHECK_FALSE(fault.empty());
+  }
+  CHECK(updates.size() == 1);
+  path.write(next);
+  CHECK(file.move(path.file(), "bins", fault));
+  CHECK(updates.size() == 2);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/lotusyard/config_test.cpp
@@ -9,10 +9,12 @@
 #include <cstdio>
 #include <fstream>
 
+#include "config/file_read.h"
 #include "core/counters.h"
 #include "net/loop.h"
 #include "net/socket.h"
 #include "support/settings.h"
+#include "support/temporary_path.h"
 #include "xds/hosts.h"
 
 namespace lotusyard::test {
@@ -251,5 +253,39 @@
   std::remove(path);
 }
 
+TEST_CASE("a configuration file that breaks off at any byte is refused, with the name of the file") {
+  const TemporaryPath path;
+  const std::string whole = good().dump();
+  for (std::size_t bytes = 0; bytes < whole.size(); ++bytes) {
+    path.write(whole.substr(0, bytes));
+    CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
+  }
+  path.write(whole + whole.substr(whole.size() / 2));  // in place over a longer one
+  CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
+  path.write(whole);
+  CHECK(config::read_config_file(path.file()).document == good());
+}
+
+TEST_CASE("a configuration file that fails to be read is refused, with the name of the file") {
+  const TemporaryPath path;
+  CHECK_THROWS_AS(config::read_config_file(path.file()), config::ConfigError);
+  path.make_unreadable();
+  CHECK_THROWS_AS(config::read_config_file(path.file()), config::ConfigError);
+  CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
+}
+
+TEST_CASE("a file of which a read fails has no content; an empty one has") {
+  const TemporaryPath path;
+  CHECK_FALSE(config::read_file(path.file()));
+  path.write("");
+  CHECK(config::read_file(path.file()) == std::string());
+  const std::string large(200000, 'x');
+  path.write(large);
+  CHECK(config::read_file(path.file()) == large);
+  path.make_unreadable();
+  CHECK_FALSE(config::read_file(path.file()));
+  CHECK_FALSE(config::read_file("/proc/self/mem"));  // opens, and fails with EIO at the first byte
+}
+
 }  // namespace
 }  // namespace lotusyard::test
