--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -87,7 +87,10 @@
       dispatcher_(
           config_.settings, [this] { return loop_.now(); }, fleet_, counters_),
       shutdown_(longest_deadline(config_.settings)),
-      front_(loop_, pool_, dispatcher_, counters_, front_limits(config_, memory_quarter())) {
+      front_(loop_, pool_, dispatcher_, counters_, front_limits(config_, memory_quarter())),
+      reloader_(
+          loop_, [this] { reload(); },
+          [this](const std::string& fault, bool last) { on_reload_fault(fault, last); }) {
   fleet_.attach(dispatcher_);
   start_membership();
   start_listening();
@@ -181,28 +184,29 @@
 
 // The file is read whole and checked; only then is the list of hosts followed to where it says.
 void Invoker::reload() {
-  try {
-    const auto next = read_file(config_file_);
-    if (next.xds.has_value() != config_.xds.has_value()) {
-      throw config::ConfigError("configuration: xds: can be added or removed at a start only");
-    }
-    std::string fault;
-    if (host_file_ && !host_file_->move(next.xds->file, next.xds->cluster, fault)) {
-      throw config::ConfigError("configuration: xds.file: " + fault);
-    }
-    if (feed_) feed_->move(next.changelog);
-    counters_.add("config.reread");
-  } catch (const std::exception& fault) {
-    counters_.add("config.faulty");  // the old one goes on
-    errors_.write_line(std::string("lotusyard: ") + fault.what());
+  const auto next = read_file(config_file_);
+  if (next.xds.has_value() != config_.xds.has_value()) {
+    throw config::ConfigError("configuration: xds: can be added or removed at a start only");
+  }
+  std::string fault;
+  if (host_file_ && !host_file_->move(next.xds->file, next.xds->cluster, fault)) {
+    throw config::ConfigError("configuration: xds.file: " + fault);
   }
+  if (feed_) feed_->move(next.changelog);
+  counters_.add("config.reread");
+}
+
+// The old configuration goes on.
+void Invoker::on_reload_fault(const std::string& fault, bool last) {
+  counters_.add("config.faulty");
+  errors_.write_line("lotusyard: " + fault + (last ? "; not read again before the next SIGHUP" : ""));
 }
 
 // True if the program is to end.
 bool Invoker::serve_signals() {
   const Signals signals = signals_.take();
   if (signals.print_counters) log_counters();
-  if (signals.reload) reload();
+  if (signals.reload) reloader_.request();
   return signals.terminate;
 }
 
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "amqp/front.h"
+#include "app/reloader.h"
 #include "app/signal_pipe.h"
 #include "config/config.h"
 #include "core/counters.h"
@@ -49,6 +50,7 @@
   std::optional<feed::Feed> feed_;
   std::optional<xds::HostFile> host_file_;
   std::optional<amqp::Front> triggers_;
+  Reloader reloader_;
   core::Millis next_status_{0};
   bool ended_ = false;  // told to end before it could listen: nothing was taken that would need an answer
 
@@ -65,6 +67,7 @@
   void start_triggers();
   void update_members(const core::MemberList& list, core::ListKind kind);
   void reload();
+  void on_reload_fault(const std::string& fault, bool last);
   void begin_shutdown(core::Millis now);
   bool shutdown_done(core::Millis now);
   void log_status();
--- /dev/null
+++ b/src/app/reloader.h
@@ -0,0 +1,49 @@
+// Takes a new configuration into force, and tries again if its file is being written.
+#pragma once
+
+#include <cstddef>
+#include <functional>
+#include <string>
+
+#include "core/types.h"
+#include "net/loop.h"
+
+namespace lotusyard::app {
+
+/// Calls `reload` on request, and again with backoff while it throws: the signal may come when the file has
+/// been written half, or is just being replaced. Bounded: after `kAttempts`, 4.75 s from the request, it
+/// gives up. A new request starts anew.
+class Reloader {
+ public:
+  static constexpr std::size_t kAttempts = 13;
+  static constexpr core::Millis kRetryFirst{50}, kRetryMost{500};
+
+  /// Throws what names the fault, and has then changed nothing.
+  using Reload = std::function<void()>;
+  /// Called with the first fault after a request, with each that differs from the one before, and with the
+  /// last, after which there is no further attempt.
+  using OnFault = std::function<void(const std::string& fault, bool last)>;
+
+  Reloader(net::Loop& loop, Reload reload, OnFault on_fault)
+      : loop_(loop), reload_(std::move(reload)), on_fault_(std::move(on_fault)) {}
+  ~Reloader() { loop_.cancel(retry_); }
+  Reloader(const Reloader&) = delete;
+  Reloader& operator=(const Reloader&) = delete;
+
+  /// Reloads at once.
+  void request();
+
+ private:
+  net::Loop& loop_;
+  Reload reload_;
+  OnFault on_fault_;
+  net::Loop::TimerId retry_{};
+  std::size_t attempts_ = 0;
+  core::Millis pause_{0};
+  std::string fault_;
+
+  void attempt();
+  void failed(const std::string& fault);
+};
+
+}  // namespace lotusyard::app
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/lotusyard/config_test.cpp
@@ -8,7 +8,9 @@
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <fstream>
+#include <functional>
 
+#include "app/reloader.h"
 #include "config/file_read.h"
 #include "core/counters.h"
 #include "net/loop.h"
@@ -287,5 +289,70 @@
   CHECK_FALSE(config::read_file("/proc/self/mem"));  // opens, and fails with EIO at the first byte
 }
 
+// The signal came before the file was whole, and the new configuration never came into force.
+TEST_CASE("a configuration that is whole only after SIGHUP comes into force by itself") {
+  net::Loop loop;
+  const TemporaryPath path;
+  json next = good();
+  next["changelog"] = "127.0.0.1:9093";
+  const std::string text = next.dump();
+  // Empty, half, absent for a moment during a replacement, and a read that fails.
+  const std::vector<std::function<void()>> states = {[&] { path.write(""); },
+                                                     [&] { path.write(text.substr(0, text.size() / 2)); },
+                                                     [&] { path.remove(); }, [&] { path.make_unreadable(); }};
+  for (std::size_t state = 0; state < states.size(); ++state) {
+    CAPTURE(state);
+    path.remove();
+    states[state]();
+    std::string in_force = "127.0.0.1:9092";
+    std::size_t attempts = 0;
+    std::vector<std::string> faults;
+    app::Reloader reloader(
+        loop,
+        [&] {
+          ++attempts;
+          in_force = config::read_config(config::read_config_file(path.file()), "", "").changelog;
+        },
+        [&](const std::string& fault, bool last) {
+          CHECK_FALSE(last);
+          faults.push_back(fault);
+        });
+    reloader.request();
+    CHECK(attempts == 1);
+    for (int i = 0; i < 200 && attempts < 3; ++i) loop.turn(loop.now() + Millis(20), [] {});
+    CHECK(in_force == "127.0.0.1:9092");
+    REQUIRE(faults.size() == 1);
+    CHECK_THAT(faults[0], Catch::Contains(path.file()));
+    path.remove();
+    path.write(text);
+    for (int i = 0; i < 200 && attempts < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
+    CHECK(in_force == "127.0.0.1:9093");
+    for (int i = 0; i < 40; ++i) loop.turn(loop.now() + Millis(20), [] {});
+    CHECK(attempts == 4);
+  }
+}
+
+TEST_CASE("a reload that keeps failing is given up, and a further request starts anew") {
+  net::Loop loop;
+  std::size_t attempts = 0, reports = 0, given_up = 0;
+  app::Reloader reloader(
+      loop,
+      [&] {
+        ++attempts;
+        throw config::ConfigError("configuration: listen: no address");
+      },
+      [&](const std::string&, bool last) {
+        ++reports;
+        if (last) ++given_up;
+      });
+  reloader.request();
+  for (int i = 0; i < 40 && given_up == 0; ++i) loop.turn(loop.now() + Millis(1000), [] {});
+  CHECK(attempts == app::Reloader::kAttempts);
+  CHECK(reports == 2);
+  reloader.request();
+  CHECK(attempts == app::Reloader::kAttempts + 1);
+  CHECK(reports == 3);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
