--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -130,7 +130,7 @@
     update_members(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
   if (!config_.xds) {
-    feed_.emplace(loop_, pool_, counters_, config_.changelog, log, on_update, memory_quarter());
+    feed_.emplace(loop_, pool_, counters_, config_.changelog, log, on_update, memory_quarter(), config_.seed);
     feed_->start();
     return;
   }
--- a/src/feed/feed.cpp
+++ b/src/feed/feed.cpp
@@ -11,7 +11,8 @@
 
 constexpr Millis kConnectMost{500};
 constexpr Millis kQuietMost{1600};  // a line comes every second: a log quiet for longer has stopped
-constexpr Millis kPauseFirst{50}, kPauseMost{500};  // events count as told after 7 s whether they came or not
+constexpr Millis kBackoffFirst{50},
+    kBackoffMost{500};  // events count as told after 7 s whether they came or not
 
 }  // namespace
 
@@ -81,7 +82,7 @@
     for (const auto& line : lines) {
       core::MemberList list;
       const auto read = feed_.log_.line(line, list);
-      if (read == Log::Read::news || read == Log::Read::nothing) feed_.pause_ = Millis(0);
+      if (read == Log::Read::news || read == Log::Read::nothing) feed_.backoff_.reset();
       if (read == Log::Read::news) {
         feed_.counters_.add("feed.events");
         feed_.told_(list);
@@ -102,14 +103,15 @@
 };
 
 Feed::Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-           Told told, std::size_t max_event)
+           Told told, std::size_t max_event, std::uint64_t seed)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
       address_(std::move(address)),
       log_(log),
       told_(std::move(told)),
-      max_event_(max_event) {}
+      max_event_(max_event),
+      backoff_(kBackoffFirst, kBackoffMost, seed) {}
 
 Feed::~Feed() { loop_.cancel(timer_); }
 
@@ -132,7 +134,7 @@
     loop_.defer_destruction(old);
   }
   loop_.cancel(timer_);
-  pause_ = Millis(0);
+  backoff_.reset();
   connect();
 }
 
@@ -140,8 +142,7 @@
   if (connection_) loop_.defer_destruction(std::move(connection_));
   connection_.reset();
   loop_.cancel(timer_);
-  timer_ = loop_.at(loop_.now() + std::max(pause_, kPauseFirst), [this] { connect(); });
-  pause_ = std::min(std::max(pause_ * 2, kPauseFirst), kPauseMost);
+  timer_ = loop_.at(loop_.now() + backoff_.next(), [this] { connect(); });
 }
 
 }  // namespace lotusyard::feed
--- a/src/feed/feed.h
+++ b/src/feed/feed.h
@@ -2,6 +2,8 @@
 // are made again as often as they break.
 #pragma once
 
+#include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
@@ -10,6 +12,7 @@
 #include "config/membership_events.h"
 #include "core/counters.h"
 #include "core/member.h"
+#include "feed/retry.h"
 #include "net/loop.h"
 #include "net/stream.h"
 
@@ -46,9 +49,10 @@
 class Feed {
  public:
   using Told = std::function<void(const core::MemberList&)>;
+  /// `seed` is that of the jitter between connections.
   /// A line of more than `max_event` bytes ends the connection; a whole list of hosts is one line.
   Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-       Told told, std::size_t max_event = kDefaultMaxEvent);
+       Told told, std::size_t max_event = kDefaultMaxEvent, std::uint64_t seed = 0);
   ~Feed();
   void start() { connect(); }
   // The log goes on at another address, under the same numbers.
@@ -65,7 +69,7 @@
   std::size_t max_event_;
   std::shared_ptr<Connection> connection_;
   net::Loop::TimerId timer_{};
-  core::Millis pause_{0};
+  Backoff backoff_;
 
   void connect();
   void again();
--- a/tests/lotusyard/feed_test.cpp
+++ b/tests/lotusyard/feed_test.cpp
@@ -2,7 +2,10 @@
 #include "feed/feed.h"
 
 #include <catch2/catch.hpp>
+#include <cerrno>
+#include <memory>
 
+#include "net/system_calls.h"
 #include "support/settings.h"
 #include "support/stand_in_log.h"
 
@@ -147,5 +150,102 @@
   CHECK(log.line(list(fits).substr(0, 100), out) == feed::Log::Read::malformed);
 }
 
+std::vector<double> pauses(feed::Backoff& backoff, int count) {
+  std::vector<double> out(static_cast<std::size_t>(count));
+  for (double& pause : out) pause = backoff.next().count();
+  return out;
+}
+
+TEST_CASE("pauses between connections double within their bounds, and differ from seed to seed alone") {
+  for (std::uint64_t seed = 0; seed < 100; ++seed) {
+    feed::Backoff backoff(Millis(50), Millis(500), seed), same(Millis(50), Millis(500), seed);
+    feed::Backoff other(Millis(50), Millis(500), seed + 1);
+    const auto drawn = pauses(backoff, 10);
+    CHECK(drawn == pauses(same, 10));
+    CHECK(drawn != pauses(other, 10));
+    double ceiling = 50;
+    for (const double pause : drawn) {
+      CHECK(pause >= ceiling / 2);
+      CHECK(pause < ceiling);
+      ceiling = std::min(ceiling * 2, 500.0);
+    }
+    backoff.reset();
+    CHECK(backoff.next() < Millis(50));
+  }
+}
+
+// Fails the first connects at once, as a machine without a route does.
+class UnreachableAtFirst final : public net::SystemCalls {
+ public:
+  int connect(int fd, const sockaddr* address, socklen_t size) override {
+    if (++connects > kFailing) return SystemCalls::connect(fd, address, size);
+    errno = ENETUNREACH;
+    return -1;
+  }
+  static constexpr int kFailing = 3;
+  int connects = 0;
+};
+
+TEST_CASE("a change log that cannot be reached from here is asked again with backoff") {
+  net::Loop loop;
+  net::BufferPool pool(64);
+  core::Counters counters;
+  StandInLog log(loop, pool);
+  log.breaks_off = false;
+  log.stays_open = true;
+  UnreachableAtFirst calls;
+  const net::ScopedSystemCalls scope(calls);
+  std::size_t updates = 0;
+  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
+                  [&](const core::MemberList&) { ++updates; });
+  const Millis began = loop.now();
+  feed.start();
+  CHECK(calls.connects == 1);
+  for (int i = 0; i < 5000 && updates < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
+  CHECK(updates == 20);
+  CHECK(calls.connects == UnreachableAtFirst::kFailing + 1);
+  CHECK(loop.now() - began >= Millis(25 + 50 + 100));  // the least pauses: none is left out
+}
+
+TEST_CASE("a change log that moves to and fro, also to where nobody listens, tells each event once") {
+  net::Loop loop;
+  net::BufferPool pool(64);
+  core::Counters counters;
+  StandInLog first(loop, pool), second(loop, pool);
+  auto gone = std::make_unique<StandInLog>(loop, pool);
+  const std::string dead = gone->server.address();
+  gone.reset();
+  for (StandInLog* log : {&first, &second}) {
+    log->breaks_off = false;
+    log->stays_open = true;
+    log->events = 3;
+  }
+  std::vector<std::string> updates, all;
+  for (int i = 1; i <= 20; ++i) all.push_back("s" + std::to_string(i));
+  feed::Feed feed(loop, pool, counters, first.server.address(), feed::Log(0),
+                  [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
+  const auto turn_until = [&](const auto& until) {
+    for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
+    return until();
+  };
+  feed.start();
+  REQUIRE(turn_until([&] { return updates.size() == 3; }));
+  feed.move(second.server.address());  // several within a turn: the last one counts
+  feed.move(first.server.address());
+  feed.move(dead);
+  feed.move(second.server.address());
+  second.events = 5;
+  REQUIRE(turn_until([&] { return updates.size() == 5; }));
+  feed.move(dead);
+  for (int i = 0; i < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
+  first.events = 20;
+  feed.move(first.server.address());
+  REQUIRE(turn_until([&] { return updates.size() == 20; }));
+  CHECK(updates == all);
+  CHECK(first.asked == std::vector<std::uint64_t>{0, 5});
+  CHECK(counters.value("feed.moves") == 6);
+  CHECK(turn_until([&] { return second.server.peers.empty(); }));
+}
+
 }  // namespace
 }  // namespace lotusyard::test
