--- a/src/feed/feed.cpp
+++ b/src/feed/feed.cpp
@@ -1,21 +1,13 @@
 #include "feed/feed.h"
 
-#include <algorithm>
+#include <utility>
 
 #include "config/membership_events.h"
 
 namespace lotusyard::feed {
-namespace {
 
 using core::Millis;
 
-constexpr Millis kConnectMost{500};
-constexpr Millis kQuietMost{1600};  // a line comes every second: a log quiet for longer has stopped
-constexpr Millis kBackoffFirst{50},
-    kBackoffMost{500};  // events count as told after 7 s whether they came or not
-
-}  // namespace
-
 bool LineCutter::take(std::string_view bytes, std::vector<std::string>& out) {
   while (!bytes.empty()) {
     const auto end = bytes.find('\n');
@@ -52,58 +44,85 @@
  public:
   Connection(Feed& feed, net::Socket socket)
       : Stream(feed.loop_, feed.pool_, std::move(socket), true), feed_(feed), cutter_(feed.max_event_) {
-    expect(kConnectMost);
+    start_timer(silence_, feed_.timeouts_.connect, [this] { give_up("feed.connect_late"); });
   }
-  ~Connection() override { feed_.loop_.cancel(quiet_); }
+  ~Connection() override { cancel_timers(); }
 
  private:
   Feed& feed_;
   LineCutter cutter_;
-  net::Loop::TimerId quiet_{};
+  net::Loop::TimerId silence_{};  // rings when no byte has come for too long, or the connection is not made
+  net::Loop::TimerId line_{};     // rings when no complete line has come for too long
 
-  void expect(Millis within) {
-    feed_.loop_.cancel(quiet_);
-    quiet_ = feed_.loop_.at(feed_.loop_.now() + within, [this] {
-      feed_.counters_.add("feed.quiet");
-      end_later();
+  void start_timer(net::Loop::TimerId& timer, Millis within, std::function<void()> ring) {
+    feed_.loop_.cancel(timer);
+    timer = feed_.loop_.at(feed_.loop_.now() + within, std::move(ring));
+  }
+  void cancel_timers() {
+    feed_.loop_.cancel(silence_);
+    feed_.loop_.cancel(line_);
+  }
+  void give_up(const char* counter) {
+    feed_.counters_.add(counter);
+    end_later();
+  }
+  // Danger: a log that stops half-way through an event is as silent as one that says nothing.
+  void expect_bytes() {
+    start_timer(silence_, feed_.patience_.silence(), [this] {
+      if (current()) feed_.patience_.silence_ran_out();
+      give_up("feed.quiet");
+    });
+  }
+  // Danger: a log may trickle for ever within one line.
+  void expect_line() {
+    start_timer(line_, feed_.patience_.line(), [this] {
+      if (current()) feed_.patience_.line_ran_out();
+      give_up("feed.line_late");
     });
   }
   void connected() override {
     feed_.counters_.add("feed.connections");
     write("since " + std::to_string(feed_.log_.last()) + "\n");
-    expect(kQuietMost);
+    expect_bytes();
+    expect_line();
   }
   void received(std::string_view bytes) override {
     if (!current()) return;
+    expect_bytes();
     std::vector<std::string> lines;
-    bool sound = cutter_.take(bytes, lines);
-    // Danger: a log that stops half-way through an event, or trickles, is as silent as one that says nothing.
-    if (!lines.empty()) expect(kQuietMost);
+    const bool fits = cutter_.take(bytes, lines);
     for (const auto& line : lines) {
-      core::MemberList list;
-      const auto read = feed_.log_.line(line, list);
-      if (read == Log::Read::news || read == Log::Read::nothing) feed_.backoff_.reset();
-      if (read == Log::Read::news) {
-        feed_.counters_.add("feed.events");
-        feed_.told_(list);
-      } else if (read != Log::Read::nothing) {
-        sound = false;  // ask again from the last event that was understood
-        break;
-      }
+      if (!take(line)) return reject();  // ask again from the last event that was understood
     }
-    if (sound) return;
+    if (!fits) return reject();
+    if (!lines.empty()) expect_line();
+  }
+  // False for a line that cannot be understood, or that shows that one before it is missing.
+  bool take(const std::string& line) {
+    core::MemberList list;
+    const auto read = feed_.log_.line(line, list);
+    if (read != Log::Read::news && read != Log::Read::nothing) return false;
+    feed_.backoff_.reset();
+    feed_.patience_.line_received();
+    if (read == Log::Read::nothing) return true;
+    feed_.patience_.update_received();
+    feed_.counters_.add("feed.events");
+    feed_.told_(list);
+    return true;
+  }
+  void reject() {
     feed_.counters_.add("feed.malformed_or_gap");
     end_later();
   }
   void ended() override {
-    feed_.loop_.cancel(quiet_);
+    cancel_timers();
     if (current()) feed_.again();
   }
   bool current() const { return feed_.connection_.get() == this; }  // false: the log has moved on
 };
 
 Feed::Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-           Told told, std::size_t max_event, std::uint64_t seed)
+           Told told, std::size_t max_event, std::uint64_t seed, Timeouts timeouts)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
@@ -111,7 +130,9 @@
       log_(log),
       told_(std::move(told)),
       max_event_(max_event),
-      backoff_(kBackoffFirst, kBackoffMost, seed) {}
+      timeouts_(timeouts),
+      backoff_(timeouts.backoff_first, timeouts.backoff_most, seed),
+      patience_(timeouts) {}
 
 Feed::~Feed() { loop_.cancel(timer_); }
 
@@ -135,6 +156,7 @@
   }
   loop_.cancel(timer_);
   backoff_.reset();
+  patience_ = Patience(timeouts_);
   connect();
 }
 
--- a/src/feed/feed.h
+++ b/src/feed/feed.h
@@ -52,7 +52,8 @@
   /// `seed` is that of the jitter between connections.
   /// A line of more than `max_event` bytes ends the connection; a whole list of hosts is one line.
   Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-       Told told, std::size_t max_event = kDefaultMaxEvent, std::uint64_t seed = 0);
+       Told told, std::size_t max_event = kDefaultMaxEvent, std::uint64_t seed = 0,
+       Timeouts timeouts = Timeouts());
   ~Feed();
   void start() { connect(); }
   // The log goes on at another address, under the same numbers.
@@ -69,7 +70,9 @@
   std::size_t max_event_;
   std::shared_ptr<Connection> connection_;
   net::Loop::TimerId timer_{};
+  Timeouts timeouts_;
   Backoff backoff_;
+  Patience patience_;
 
   void connect();
   void again();
--- a/tests/lotusyard/feed_test.cpp
+++ b/tests/lotusyard/feed_test.cpp
@@ -150,6 +150,79 @@
   CHECK(log.line(list(fits).substr(0, 100), out) == feed::Log::Read::malformed);
 }
 
+// A log that is crowded: it answers each `since` with the same text, a piece every few milliseconds.
+struct TricklingLog {
+  class Peer final : public net::Stream {
+   public:
+    Peer(TricklingLog& log, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
+        : Stream(loop, pool, std::move(socket), false), log_(log) {}
+    ~Peer() override { loop().cancel(timer_); }
+
+   private:
+    TricklingLog& log_;
+    net::Loop::TimerId timer_{};
+    std::size_t written_ = 0;
+    void received(std::string_view) override {
+      ++log_.asked;
+      write_piece();
+    }
+    void write_piece() {
+      if (written_ >= log_.text.size()) return;
+      write(log_.text.substr(written_, log_.piece));
+      written_ += log_.piece;
+      timer_ = loop().at(loop().now() + Millis(10), [this] { write_piece(); });
+    }
+    void ended() override { log_.server.gone(*this); }
+  };
+  TricklingLog(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
+  std::string text;
+  std::size_t piece = 1;
+  std::size_t asked = 0;
+  Server<Peer, TricklingLog> server;
+};
+
+// A list that took longer than the wait for a line was cut off and asked for again, for ever.
+TEST_CASE("a whole list that a crowded log sends slowly is read in the end") {
+  net::Loop loop;
+  net::BufferPool pool(64);
+  core::Counters counters;
+  TricklingLog log(loop, pool);
+  log.text = whole_list(5);
+  log.piece = log.text.size() / 100 + 1;  // a second at least, five times the first wait
+  feed::Timeouts timeouts;
+  timeouts.line_first = Millis(200);
+  std::vector<core::MemberList> updates;
+  feed::Feed feed(
+      loop, pool, counters, log.server.address(), feed::Log(0),
+      [&](const core::MemberList& list) { updates.push_back(list); }, feed::kDefaultMaxEvent, 7, timeouts);
+  feed.start();
+  const Millis end = loop.now() + Millis(20000);
+  while (updates.empty() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
+  REQUIRE(updates.size() == 1);
+  CHECK(updates[0].members.size() == 5);
+  CHECK(log.asked >= 2);
+  CHECK(counters.value("feed.line_late") == log.asked - 1);
+}
+
+TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
+  feed::Patience patience{feed::Timeouts()};
+  CHECK(patience.silence() == Millis(1600));
+  patience.silence_ran_out();
+  CHECK(patience.line() == Millis(1600));
+  for (int i = 0; i < 20; ++i) patience.silence_ran_out();
+  // What a log that stopped would have told counts as received 4 s later.
+  CHECK(patience.silence() == Millis(3000));
+  patience.line_ran_out();
+  CHECK(patience.line() == Millis(3200));
+  for (int i = 0; i < 20; ++i) patience.line_ran_out();
+  CHECK(patience.line() == Millis(60000));
+  patience.line_received();
+  CHECK(patience.silence() == Millis(1600));
+  CHECK(patience.line() == Millis(60000));
+  patience.update_received();
+  CHECK(patience.line() == Millis(1600));
+}
+
 std::vector<double> pauses(feed::Backoff& backoff, int count) {
   std::vector<double> out(static_cast<std::size_t>(count));
   for (double& pause : out) pause = backoff.next().count();
