--- a/tests/lotusyard/host_faults_test.cpp
+++ b/tests/lotusyard/host_faults_test.cpp
@@ -120,6 +120,22 @@
   CHECK(world.counters.value("hosts.probes") == 0);
 }
 
+TEST_CASE("attempts that a local fault kept back do not count against the attempts that a call may have") {
+  core::Settings s = settings();
+  s.max_attempts = 1;
+  World world(1, s);
+  RecordingFront front;
+  ScriptedCalls calls;
+  const net::ScopedSystemCalls scope(calls);
+  calls.connect_error = ENOBUFS;
+  calls.connect_faults = 3;
+  take_call(world, front, "000000000000000a", Millis(1400));
+  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
+  CHECK(front.verdicts == std::vector<core::Verdict>{core::Verdict::served});
+  CHECK(calls.connects == 4);
+  CHECK(world.counters.value("guard.send_stopped") == 0);
+}
+
 TEST_CASE("a load order or a probe that a local fault kept back is no reason to probe its host") {
   World world(1);
   RecordingFront front;
