--- /dev/null
+++ b/tests/replay/fleet_simulation.h
@@ -0,0 +1,126 @@
+// A small closed-loop simulation that drives the adapter over its wire: invokers, workers, clients and
+// faults.
+//
+// It is a source of varied and legal event streams, not a model of a real fleet: what a worker does is drawn
+// from the seed, and the adapter's actions decide what happens next. Time is kept in whole microseconds and
+// random numbers come from the engine alone, so a plan gives the same stream on every machine.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <vector>
+
+#include "day_plan.h"
+#include "random.h"
+#include "summary.h"
+#include "wire.h"
+
+namespace robinfold::replay {
+
+class FleetSimulation {
+ public:
+  /// Called with each round and the adapter's reply to it.
+  using Observer = std::function<void(const std::string& round, const std::string& reply)>;
+
+  explicit FleetSimulation(const DayPlan& plan);
+
+  /// Plays the whole day once.
+  Summary run(const Observer& observer = nullptr);
+
+ private:
+  using Micros = std::int64_t;
+  using Json = nlohmann::json;
+
+  struct Instance {  // of a function at a worker
+    Micros ready_at = 0, used_at = 0;
+    bool fails = false;  // its load does
+  };
+  struct Worker {
+    std::string id, zone, kind;
+    int cell = 0, availability = 2;
+    Micros started = 0, down_until = 0, silent_until = 0;
+    int slow_factor = 1, error_share = 0, in_work = 0;
+    std::map<std::uint64_t, Instance> instances;
+  };
+  struct Invoker {
+    bool live = false, subscribed = false;
+    int incarnation = 0;
+    Micros list_delay = 0;
+    Json inbox = Json::array();
+  };
+  struct Attempt {
+    int worker = 0;
+    Micros sent = 0;
+    bool settled = false;
+  };
+  struct Request {
+    int invoker = 0, incarnation = 0, class_index = 0;
+    std::uint64_t function = 0;
+    Micros deadline = 0;
+    bool over = false, streaming = false;
+    std::vector<Attempt> attempts;
+  };
+  struct Fate {  // how an attempt will end
+    std::string status;
+    Micros after = 0;  // never_answered: only the time-out ends it
+    int remark = 0;
+  };
+
+  DayPlan plan_;
+  Random random_;
+  simhost::Host host_;
+  Micros now_ = 0;
+  int round_ = 0, next_request_ = 0, next_worker_ = 0, next_page_ = 0, list_generation_ = 0;
+  std::vector<Worker> workers_;
+  std::map<std::string, int> worker_index_;
+  std::vector<Invoker> invokers_;
+  std::map<std::string, Request> requests_;
+  std::multimap<Micros, std::function<void()>> pending_;
+
+  void schedule(Micros after, std::function<void()> step) { pending_.emplace(now_ + after, std::move(step)); }
+  void deliver(int invoker, Json message);
+  void deliver_later(int invoker, Micros after, Json message);
+
+  void start_fleet();
+  void start_invoker(int index);
+  void stop_invoker(int index);
+  void restart_some_invoker();
+  void play_round(Summary& summary, const Observer& observer);
+
+  void add_worker();
+  Json entry(const Worker& worker) const;
+  void deliver_list(int invoker, int kind, const Json& entries);
+  void announce(int index);
+  void full_list(int invoker, int kind);
+
+  void break_some_worker();
+  void restart_worker(int index);
+  void drain_worker(int index);
+
+  void arrive();
+  void request(int invoker, std::uint64_t function, Micros expires_in, bool retry);
+  void client_leaves(const std::string& id);
+  void client_retries(const Request& ended);
+  void odd_messages(int invoker, const std::string& id);
+
+  void perform(int invoker, const Json& command);
+  void assign(int invoker, const Json& command);
+  Fate fate_of(Worker& worker, const Request& request, Micros time_out);
+  Fate fate_without_time_out(Worker& worker, const Request& request);
+  Fate run_at(Worker& worker, const Request& request);
+  void settle(const std::string& id, int attempt, const Fate& fate);
+  void begin_stream(const std::string& id, int attempt);
+  void recall(const Json& command);
+  void end_request(const Json& command, bool refused);
+  void load(int invoker, const Json& command);
+  void probe(int invoker, const Json& command);
+  void publish(int invoker, const Json& command);
+  void subscribe(int invoker, bool enable);
+  void set_timer(int invoker, const Json& command);
+  Json report(const Worker& worker, bool for_probe);
+};
+
+}  // namespace robinfold::replay
--- /dev/null
+++ b/tests/replay/gzip_lines.h
@@ -0,0 +1,12 @@
+// Reads the lines of a gzip'ed text file.
+#pragma once
+
+#include <string>
+#include <vector>
+
+namespace robinfold::replay {
+
+/// All lines of the file, without their line feeds. Throws std::runtime_error if it can't be read whole.
+std::vector<std::string> read_gzip_lines(const std::string& path);
+
+}  // namespace robinfold::replay
--- /dev/null
+++ b/tests/replay/summary.h
@@ -0,0 +1,58 @@
+// What a replay is compared by: a digest of the adapter's replies and the count of each kind of action.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <nlohmann/json.hpp>
+#include <sstream>
+#include <string>
+
+namespace robinfold::replay {
+
+/// FNV-1a of 64 bits over all lines added, each ended by a line feed.
+class Digest {
+ public:
+  void add_line(const std::string& line) {
+    for (const char byte : line) add_byte(static_cast<unsigned char>(byte));
+    add_byte('\n');
+  }
+  std::uint64_t value() const { return hash_; }
+
+ private:
+  static constexpr std::uint64_t offset_basis = 0xcbf29ce484222325ULL;
+  static constexpr std::uint64_t prime = 0x100000001b3ULL;
+  std::uint64_t hash_ = offset_basis;
+
+  void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * prime; }
+};
+
+/// Digest and counts of the replies of one day.
+class Summary {
+ public:
+  /// Adds one reply, both as it was written and parsed.
+  void add_reply(const std::string& line, const nlohmann::json& reply) {
+    ++rounds_;
+    digest_.add_line(line);
+    for (const auto& group : reply.at("routers")) {
+      for (const auto& command : group.at("cmds")) ++actions_[command.at(0).get<std::string>()];
+    }
+  }
+  int count(const std::string& action) const {
+    const auto found = actions_.find(action);
+    return found == actions_.end() ? 0 : found->second;
+  }
+  /// One line: name, digest, number of rounds, and the actions with their counts in order of their names.
+  std::string line(const std::string& name) const {
+    std::ostringstream text;
+    text << name << ' ' << std::hex << digest_.value() << std::dec << " rounds=" << rounds_;
+    for (const auto& [action, count] : actions_) text << ' ' << action << '=' << count;
+    return text.str();
+  }
+
+ private:
+  Digest digest_;
+  int rounds_ = 0;
+  std::map<std::string, int> actions_;
+};
+
+}  // namespace robinfold::replay
