--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -47,8 +47,10 @@
   if (!(most_mb > 0)) most_mb = kMostMemoryMb;  // not told
   if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb)) return "calls.bad_figures";
   if (call.lanes < 1 || call.lanes > kMostLanes) return "calls.bad_figures";
-  // A client's patience is at most its class's; a millisecond for rounding.
-  if (!(call.allow.count() > 0 && call.allow <= cls->deadline + Millis(1))) return "calls.bad_figures";
+  // On sockets each time limit of the settings grows by this: clients are seen to wait a few ms past it.
+  constexpr Millis time_limit_slack{50};
+  const bool allow_in_range = call.allow.count() > 0 && call.allow <= cls->deadline + time_limit_slack;
+  if (!allow_in_range) return "calls.bad_figures";
   return nullptr;
 }
 
