--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -32,7 +32,7 @@
 }
 
 // A third of the descriptors each for clients and for hosts; the last third for connections that have not
-// asked yet, less what the program itself holds.
+// asked yet, less what the program itself holds and what connections that are being closed may hold.
 hosts::Limits host_limits(const config::Config& config) {
   hosts::Limits limits;
   limits.connect_timeout = config.settings.connect_timeout;
@@ -49,7 +49,8 @@
 resp::Front::Limits front_limits(const config::Config& config, std::size_t body_bytes) {
   resp::Front::Limits limits;
   limits.clients = config.sockets / 3;
-  limits.newcomers = std::max<std::size_t>(config.sockets / 3, 2 * kOwnDescriptors) - kOwnDescriptors;
+  const std::size_t reserved = kOwnDescriptors + limits.closing;
+  limits.newcomers = std::max<std::size_t>(config.sockets / 3, reserved + kOwnDescriptors) - reserved;
   limits.body_bytes = body_bytes;
   return limits;
 }
@@ -227,6 +228,7 @@
   if (triggers_) triggers_->close();
   // What is read in this last turn is answered too.
   loop_.turn(loop_.now(), [this] { dispatcher_.end_all(); });
+  close_clients();
   log_status();
   log_counters();
 }
@@ -249,6 +251,16 @@
   return (listener_closed && all_served && !shutdown_.requests_come(now)) || shutdown_.over(now);
 }
 
+// The exit closes what is open by then. Unread input would turn that into a reset, which can overtake the
+// last answers.
+void Invoker::close_clients() {
+  front_.close_connections();
+  const Millis until = shutdown_.linger_until(loop_.now());
+  do {
+    loop_.turn(until, [] {});
+  } while (!front_.closed() && loop_.now() < until);
+}
+
 void Invoker::log_status() {
   next_status_ = loop_.now() + kStatusInterval;
   const std::string line = counters_.status(dispatcher_.tally());
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -69,6 +69,7 @@
   void reload();
   void on_reload_fault(const std::string& fault, bool last);
   void begin_shutdown(core::Millis now);
+  void close_clients();
   bool shutdown_done(core::Millis now);
   void log_status();
   void log_counters();
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -22,11 +22,17 @@
   bool requests_come(Millis now) const { return !past(now, kRequestsFor); }
   // SIGKILL is near: what is open gets its final answer now, or never.
   bool answers_due(Millis now) const { return past(now, answers_for_); }
+  // When to stop waiting for clients to close their connections, if all is answered by `now`.
+  Millis linger_until(Millis now) const {
+    return std::min(now, began_ + answers_for_ + kToWrite) + kToLinger;
+  }
   bool over(Millis now) const { return past(now, answers_for_ + kToWrite); }
 
  private:
   // SIGKILL comes no sooner than 0.7 s past the longest deadline, which counts as 3 s where it is longer.
-  static constexpr Millis kLongestCounted{3000}, kBeforeKill{500}, kToWrite{100};
+  static constexpr Millis kLongestCounted{3000}, kBeforeKill{500}, kToWrite{50};
+  // For clients to close their connections. The rest, 80 ms, is for the exit.
+  static constexpr Millis kToLinger{70};
   // Connections come for at most 0.4 s, requests for 0.2 s more.
   static constexpr Millis kListenFor{500}, kRequestsFor{800};
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -25,7 +25,10 @@
   if (socket_) watch();
 }
 
-Stream::~Stream() { loop_.forget(socket_.fd(), *this); }
+Stream::~Stream() {
+  loop_.cancel(linger_timer_);
+  loop_.forget(socket_.fd(), *this);
+}
 
 void Stream::watch() {
   const bool writes = connecting_ || !outbox_.empty();
@@ -33,14 +36,14 @@
 }
 
 void Stream::write(std::string_view bytes) {
-  if (!socket_ || ending_) return;
+  if (ending()) return;
   // A stream with a gap cannot be understood: it ends.
   if (!outbox_.append(bytes)) return end_later();
   if (!connecting_) loop_.flush_later(*this);
 }
 
 bool Stream::flush_now() {
-  if (!socket_ || connecting_ || ending_) return false;
+  if (connecting_ || ending()) return false;
   const auto written = outbox_.write_to(socket_.fd());
   if (written == Outbox::Written::broken) {
     note_end(end_of_error(errno));
@@ -53,10 +56,28 @@
 
 void Stream::flush() {
   if (!ending_) flush_now();
-  if (ends_when_written_ && outbox_.empty()) ending_ = true;
+  if (ends_when_written_ && outbox_.empty() && !ending()) linger();
   if (ending_) end();
 }
 
+// Closing with unread input sends a reset, which discards what the peer has not received yet. So sending is
+// shut down first, and input is read until the peer has closed.
+void Stream::linger() {
+  const bool nothing_to_lose = outbox_.appended() == 0;
+  if (nothing_to_lose || system_calls().shutdown(socket_.fd(), SHUT_WR) != 0) {
+    ending_ = true;
+    return;
+  }
+  lingers_ = discards_input_ = true;
+  linger_timer_ = loop_.at(loop_.now() + kLingerTimeout, [this] { end_later(); });
+}
+
+void Stream::discard_input(std::size_t size) {
+  if (!lingers_) return;
+  discarded_after_shutdown_ += size;
+  if (discarded_after_shutdown_ > kLingerMaxBytes) end_later();
+}
+
 void Stream::end_later() {
   if (!socket_) return;
   ending_ = true;
@@ -69,6 +90,12 @@
   loop_.flush_later(*this);
 }
 
+bool Stream::has_input() const {
+  pollfd descriptor{socket_.fd(), POLLIN, 0};
+  // A failed call tells nothing, so input has to be expected.
+  return system_calls().poll(&descriptor, 1, 0) != 0;
+}
+
 void Stream::discarded() {
   backlog_discarded();
   end_later();
@@ -80,6 +107,7 @@
 
 void Stream::end() {
   if (!socket_) return;
+  loop_.cancel(linger_timer_);
   loop_.forget(socket_.fd(), *this);
   socket_.close();
   connecting_ = false;
@@ -112,8 +140,13 @@
       note_end(got == 0 ? StreamEnd::closed_by_peer : end_of_error(errno));
       return end();
     }
-    received(std::string_view(block.data(), static_cast<std::size_t>(got)));
-    if (static_cast<std::size_t>(got) < block.size()) return;
+    const auto size = static_cast<std::size_t>(got);
+    if (discards_input_) {
+      discard_input(size);
+    } else {
+      received(std::string_view(block.data(), size));
+    }
+    if (size < block.size()) return;
   }
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -21,6 +21,10 @@
 /// end.
 class Stream : public Handler {
  public:
+  /// Bounds on the wait for the close of a peer that was sent all that it is owed.
+  static constexpr Millis kLingerTimeout{1000};
+  static constexpr std::size_t kLingerMaxBytes = std::size_t{1} << 20;
+
   Stream(Loop& loop, BufferPool& pool, Socket socket, bool connecting);
   ~Stream() override;
   Stream(const Stream&) = delete;
@@ -29,11 +33,20 @@
   void write(std::string_view bytes);  // goes out at the end of the turn
   bool flush_now();                    // false if some bytes must wait or the stream ends
   void end_later();                    // ends it from the loop, for callers that `ended` must not interrupt
-  void end_when_written();             // the same, once all bytes are handed to the kernel
-  void keep_open() { ends_when_written_ = false; }  // takes that back
+  /// Ends it from the loop, without a reset that could overtake what was written: hands all bytes to the
+  /// kernel, shuts down sending, and discards input until the peer closes. The last step is bounded by
+  /// `kLingerTimeout` and `kLingerMaxBytes`, the first one by the caller.
+  void end_when_written();
+  void keep_open() { ends_when_written_ = false; }  // takes that back, until sending is shut down
+  /// From now on input is discarded instead of passed to `received`. A close of the peer still ends the
+  /// stream.
+  void stop_receiving() { discards_input_ = true; }
+  bool discards_input() const { return discards_input_; }
   bool open() const { return static_cast<bool>(socket_) && !connecting_; }
   bool connecting() const { return static_cast<bool>(socket_) && connecting_; }
-  bool ending() const { return ending_ || !socket_; }  // nothing written now would go out
+  bool ending() const { return ending_ || lingers_ || !socket_; }  // nothing written now would go out
+  /// True if poll(2) has something to tell: bytes that were not read yet, a close or an error.
+  bool has_input() const;
   const Outbox& outbox() const { return outbox_; }
   StreamEnd end_cause() const { return end_cause_; }
 
@@ -54,10 +67,16 @@
   Socket socket_;
   Outbox outbox_;
   bool connecting_ = false, ending_ = false, ends_when_written_ = false;
+  bool discards_input_ = false;
+  bool lingers_ = false;  // sending is shut down
+  std::size_t discarded_after_shutdown_ = 0;
+  Loop::TimerId linger_timer_{};
 
   StreamEnd end_cause_ = StreamEnd::local;
 
   void watch();
+  void linger();
+  void discard_input(std::size_t size);
   void discarded();
   void read();
   void note_end(StreamEnd cause);
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <functional>
 #include <unordered_set>
 
 #include "net/fields.h"
@@ -33,35 +34,55 @@
   }
   ~Client() override { loop().cancel(request_timer_); }
   std::unordered_map<std::string, core::CallId> open_calls;
+  Clients* list = nullptr;  // of the front, in which it stands at `place`
   Clients::iterator place;
-  bool asked = false;  // stands among the clients, else among the newcomers
+  bool asked = false;  // has sent a whole request
   std::size_t faults = 0;
 
-  bool idle() const { return open_calls.empty() && outbox().empty(); }
+  // Closing it loses no request, but for one that crosses the close.
+  bool idle() const { return open_calls.empty() && outbox().empty() && !reading() && !has_input(); }
   bool reading() const { return parser_.begun(); }
-  // The last open call was answered: closes a connection whose request has been overdue since before.
+  // The client broke the protocol: nothing more is taken from it, and the connection ends once the calls that
+  // are open have their final answers.
+  void reject_input() {
+    if (rejected_) return;
+    rejected_ = true;
+    stop_receiving();
+    if (open_calls.empty()) return close();
+    restart_timer(front_.limits_.rejected_timeout, [this] { front_.fail_open_calls(*this); });
+  }
+  // The last open call was answered: closes a connection that had to wait for it.
   void all_answered() {
-    if (!overdue_) return;
+    if (overdue_ || rejected_) close();
+  }
+  void close() {
+    if (outbox().appended() == 0) return end_later();  // no answer that a reset could overtake
     end_when_written();
     // A client that does not read its answers does not keep the descriptor either.
-    request_timer_ = loop().at(loop().now() + front_.limits_.request_timeout, [this] { end_later(); });
+    restart_timer(front_.limits_.request_timeout, [this] { end_later(); });
+    front_.close(*this);
   }
 
  private:
   Front& front_;
   Parser parser_;
   net::Loop::TimerId request_timer_{};
-  bool begun_ = true;     // a newcomer owes its first request from the start
-  bool overdue_ = false;  // the rest of a request did not come in time
+  bool begun_ = true;      // a newcomer owes its first request from the start
+  bool overdue_ = false;   // the rest of a request did not come in time
+  bool rejected_ = false;  // the client broke the protocol
 
+  void restart_timer(core::Millis span, std::function<void()> ring) {
+    loop().cancel(request_timer_);
+    request_timer_ = loop().at(loop().now() + span, std::move(ring));
+  }
   // Half a request, or none, would hold a descriptor for good.
   void expect_whole() {
-    request_timer_ = loop().at(loop().now() + front_.limits_.request_timeout, [this] { request_overdue(); });
+    restart_timer(front_.limits_.request_timeout, [this] { request_overdue(); });
   }
   // What is open still gets its answer, and until then the rest may still come.
   void request_overdue() {
     front_.counters_.add(asked ? "resp.half_request" : "resp.no_request");
-    if (open_calls.empty()) return end_later();
+    if (open_calls.empty()) return close();
     overdue_ = true;
   }
   void backlog_discarded() override { front_.counters_.add("resp.unread_closed"); }
@@ -79,12 +100,12 @@
     begun_ = parser_.begun() || !asked;
     leave_out_taken_back(commands);
     for (auto& words : commands) {
-      if (ending()) return;  // what came behind a fault is not begun
+      if (rejected_ || ending()) return;  // what came behind a fault is not begun
       front_.take(*this, std::move(words));
     }
     if (sound) return;
     front_.counters_.add("resp.malformed");
-    end_later();
+    reject_input();
   }
   // Danger: hundreds of calls that are taken back in the bytes they came in would each cost a host something.
   void leave_out_taken_back(std::vector<Words>& commands) {
@@ -135,7 +156,9 @@
 }
 
 bool Front::written() const {
-  return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->outbox().empty(); });
+  const auto all_handed_over = [](const auto& c) { return c->outbox().empty(); };
+  return std::all_of(clients_.begin(), clients_.end(), all_handed_over) &&
+         std::all_of(closing_.begin(), closing_.end(), all_handed_over);
 }
 
 bool Front::reading() const {
@@ -144,19 +167,36 @@
          std::any_of(newcomers_.begin(), newcomers_.end(), begun);
 }
 
-void Front::shed(const std::shared_ptr<Client>& client, const char* why) {
+void Front::close_connections() {
+  std::vector<std::shared_ptr<Client>> left(clients_.begin(), clients_.end());
+  left.insert(left.end(), newcomers_.begin(), newcomers_.end());
+  for (const auto& client : left) client->reject_input();
+}
+
+// `client` is a reference of its own: it may be erased from its list at once.
+void Front::shed(std::shared_ptr<Client> client, const char* why) {
   counters_.add(why);
-  // It leaves the list of clients at once, and `client` may be the list's own reference to it.
-  std::shared_ptr<Client> kept = client;
-  kept->end_later();
-  kept->flush();
-  kept.reset();
+  client->close();
+  client->flush();
+  client.reset();
+}
+
+// Connections that wait for their client's close keep no place from others, and few descriptors.
+void Front::close(Client& client) {
+  closing_.splice(closing_.end(), *client.list, client.place);
+  client.list = &closing_;
+  if (closing_.size() <= std::max<std::size_t>(limits_.closing, 1)) return;
+  counters_.add("resp.linger_cut");
+  const std::shared_ptr<Client> oldest = closing_.front();
+  oldest->end_later();
+  oldest->flush();
 }
 
 // A whole request has come: the connection takes a place among the clients, of the one longest unheard with
 // no call open if need be. False if there is none.
 bool Front::promote(Client& client) {
-  clients_.splice(clients_.end(), client.asked ? clients_ : newcomers_, client.place);
+  clients_.splice(clients_.end(), *client.list, client.place);
+  client.list = &clients_;
   client.asked = true;
   if (clients_.size() <= limits_.clients) return true;
   const auto self = std::prev(clients_.end());
@@ -172,11 +212,11 @@
 void Front::turn_away(Client& client, const std::vector<Words>& commands) {
   counters_.add("resp.no_place");
   for (const auto& words : commands) {
-    if (words.size() > 1 && words[0] == "CALL")
-      say(client, words[1], core::Verdict::refused, core::Millis(0), {});
+    if (words.size() < 2) continue;
+    if (words[0] == "CALL") say(client, words[1], core::Verdict::refused, core::Millis(0), {});
+    if (words[0] == "CHECK") say_check(client, words[1]);
   }
-  client.flush_now();
-  client.end_later();
+  client.reject_input();
 }
 
 // Danger: connections by hundreds that say nothing. The oldest goes, unless its request has come by now.
@@ -201,6 +241,7 @@
     accept_backoff_ = core::Millis(0);
     newcomers_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
     newcomers_.back()->place = std::prev(newcomers_.end());
+    newcomers_.back()->list = &newcomers_;
     bound_newcomers();
   }
   if (status == net::AcceptStatus::retry_later) {
@@ -231,7 +272,7 @@
   const auto tag = words.size() < 2 ? std::nullopt : net::parse_whole(words[1], UINT64_MAX);
   if (!tag || *tag == 0) {
     counters_.add("resp.no_tag");  // there is nothing to answer under
-    return client.end_later();
+    return client.reject_input();
   }
   if (words[0] == "CALL") return call(client, std::move(words));
   if (words[0] == "CANCEL") {
@@ -242,21 +283,18 @@
     unfile(id);
     return dispatcher_.leave(id);
   }
-  std::string out;
-  if (words[0] == "CHECK") {
-    write_array(out, {words[1], draining_ ? "DOWN" : "UP"});
-  } else {
-    counters_.add("resp.unknown_verb");
-    write_array(out, {words[1], "FAILED"});
-  }
-  client.write(out);
+  if (words[0] == "CHECK") return say_check(client, words[1]);
+  counters_.add("resp.unknown_verb");
+  say(client, words[1], core::Verdict::failed, core::Millis(0), {});
 }
 
 void Front::call(Client& client, Words&& words) {
   const std::string tag = words[1];
   if (client.open_calls.count(tag) != 0) {
-    counters_.add("resp.tag_repeated");  // two answers under one tag could not be told apart
-    return client.end_later();
+    counters_.add("resp.tag_repeated");
+    // An answer to one of the two calls could be taken for the other's, so none may say OK.
+    fail_open_call(client, client.open_calls[tag]);
+    return client.reject_input();
   }
   if (client.open_calls.size() >= limits_.calls_a_client) {
     return reject(client, tag, "resp.too_many_open", core::Verdict::refused);
@@ -317,8 +355,7 @@
   say(client, tag, verdict, core::Millis(0), {});
   if (++client.faults <= kFaultsMost) return;
   counters_.add("resp.faults_closed");
-  client.flush_now();
-  client.end_later();
+  client.reject_input();
 }
 
 void Front::say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
@@ -336,10 +373,33 @@
     }
   }
   client.write(out);
-  // Guards the pool against a client that does not read.
-  if (client.outbox().appended() - client.outbox().written() <= kUnreadMost) return;
+  // Guards the pool against a client that does not read. What it has open adds a bounded number of answers.
+  if (client.outbox().appended() - client.outbox().written() <= kUnreadMost || client.discards_input())
+    return;
   counters_.add("resp.unread_closed");
-  client.end_later();
+  client.reject_input();
+}
+
+void Front::say_check(Client& client, const std::string& tag) const {
+  std::string out;
+  write_array(out, {tag, draining_ ? "DOWN" : "UP"});
+  client.write(out);
+}
+
+// Gives the call up before its deadline.
+void Front::fail_open_call(Client& client, core::CallId call) {
+  const std::string tag = by_call_.at(call).tag;
+  unfile(call);
+  dispatcher_.leave(call);
+  say(client, tag, core::Verdict::failed, core::Millis(0), {});
+}
+
+void Front::fail_open_calls(Client& client) {
+  std::vector<core::CallId> open;
+  for (const auto& [tag, id] : client.open_calls) open.push_back(id);
+  std::sort(open.begin(), open.end());
+  for (const auto id : open) fail_open_call(client, id);
+  client.all_answered();
 }
 
 void Front::answer(core::CallId call, core::Answer&& answer) {
@@ -361,7 +421,7 @@
 
 void Front::gone(Client& client) {
   const std::shared_ptr<Client> kept = *client.place;
-  (client.asked ? clients_ : newcomers_).erase(client.place);
+  client.list->erase(client.place);
   std::vector<core::CallId> left;
   for (const auto& [tag, id] : client.open_calls) left.push_back(id);
   std::sort(left.begin(), left.end());
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -20,10 +20,14 @@
  public:
   struct Limits {
     std::size_t clients = 256, newcomers = 64;  // connections that have asked something, and not yet
+    // Connections beyond these that were sent all that they are owed and wait for the client's close.
+    std::size_t closing = 16;
     std::size_t calls_a_client = 32;
     std::size_t body_bytes = 48U << 20;  // of all open calls
     // From connecting, or a request's first byte, to its last.
     core::Millis request_timeout{2000};
+    // From a breach of the protocol to the final answer of the calls that were open by then.
+    core::Millis rejected_timeout{2000};
   };
   Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
         Limits limits);
@@ -40,6 +44,9 @@
   std::size_t open_calls() const { return by_call_.size(); }
   bool written() const;  // nothing waits to be written
   bool reading() const;  // a request has come in part
+  /// Begins to end all connections: each is sent what waits to be written, and nothing more is read from it.
+  void close_connections();
+  bool closed() const { return clients_.empty() && newcomers_.empty() && closing_.empty(); }
 
   void answer(core::CallId call, core::Answer&& answer) override;
 
@@ -59,6 +66,7 @@
   std::error_code listen_error_;
   using Clients = std::list<std::shared_ptr<Client>>;
   Clients clients_, newcomers_;  // the one longest unheard first
+  Clients closing_;              // the one closing for longest first
   std::unordered_map<core::CallId, Filed> by_call_;
   std::size_t bodies_ = 0;
   bool draining_ = false;
@@ -68,10 +76,11 @@
 
   void ready(short events) override;
   bool promote(Client& client);
+  void close(Client& client);
   void turn_away(Client& client, const std::vector<Words>& commands);
   void bound_newcomers();
   net::AcceptStatus accept_some();
-  void shed(const std::shared_ptr<Client>& client, const char* why);
+  void shed(std::shared_ptr<Client> client, const char* why);
   void pause_listening();
   void resume_listening();
   void take(Client& client, Words&& words);
@@ -80,6 +89,9 @@
               core::Verdict verdict = core::Verdict::failed);
   void say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
            std::string_view body);
+  void say_check(Client& client, const std::string& tag) const;
+  void fail_open_call(Client& client, core::CallId call);
+  void fail_open_calls(Client& client);
   void unfile(core::CallId call);
   void gone(Client& client);
 };
--- a/tests/lotusyard/process_test.cpp
+++ b/tests/lotusyard/process_test.cpp
@@ -1,13 +1,15 @@
 // The program itself: started, told by signals, asked over loopback.
 #include <fcntl.h>
 #include <poll.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/ioctl.h>
+#include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
+#include <cerrno>
+#include <csignal>
 #include <cstdlib>
 #include <fstream>
 #include <nlohmann/json.hpp>
@@ -18,8 +20,6 @@
 #include "support/stand_in_host.h"
 #include "support/stand_in_log.h"
 
-extern char** environ;
-
 namespace lotusyard::test {
 namespace {
 
@@ -287,5 +287,88 @@
   }
 }
 
+// A client that has more bytes of health checks on their way than the program reads of a connection in a
+// turn, and fewer than it discards at the end. It goes on until the connection ends.
+class BusyClient {
+ public:
+  enum class State { open, closed_in_order, reset };
+  BusyClient(const std::string& address, std::string first) : socket_(net::connect_to(address)) {
+    unsent_ = std::move(first);
+  }
+  State state() const { return state_; }
+  std::size_t answered() const { return answered_; }
+  // The word of the answer under the tag of the first request, which no health check has.
+  const std::string& first_word() const { return first_word_; }
+  void turn() {
+    if (state_ != State::open) return;
+    while (asked_ - answered_ < kWindow) {
+      resp::write_array(unsent_, {"CHECK", std::to_string(2 + asked_++), padding_});
+    }
+    // Until nothing more fits between the two.
+    for (ssize_t sent = 1; sent > 0 && !unsent_.empty();) {
+      sent = ::send(socket_.fd(), unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
+      if (sent > 0) unsent_.erase(0, static_cast<std::size_t>(sent));
+    }
+    read();
+    if (state_ != State::open) socket_.close();
+  }
+
+ private:
+  static constexpr std::size_t kWindow = 40;
+  const std::string padding_ = std::string(16000, 'x');
+  net::Socket socket_;
+  resp::Parser parser_;
+  std::string unsent_, first_word_;
+  std::size_t asked_ = 0, answered_ = 0;
+  State state_ = State::open;
+
+  void read() {
+    std::vector<char> block(std::size_t{64} * 1024);
+    while (state_ == State::open) {
+      const ssize_t got = ::recv(socket_.fd(), block.data(), block.size(), 0);
+      if (got < 0 && (errno == EAGAIN || errno == ENOTCONN)) return;
+      if (got < 0) state_ = State::reset;
+      if (got == 0) state_ = State::closed_in_order;
+      if (got <= 0) return;
+      std::vector<resp::Words> answers;
+      REQUIRE(parser_.take({block.data(), static_cast<std::size_t>(got)}, answers));
+      for (const auto& answer : answers) {
+        if (answer[0] == "1") {
+          first_word_ = answer.at(1);
+        } else {
+          ++answered_;
+        }
+      }
+    }
+  }
+};
+
+// Failure found in review: the exit closed connections with input unread, which resets them.
+TEST_CASE("told to end, the program closes no connection by a reset, though its client goes on sending") {
+  Site site(1000);
+  site.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
+  const std::string address = site.start();
+  std::string call;
+  resp::write_array(call,
+                    {"CALL", "1", "record", "ref=00000000000000c1,allow=900,lookup=00000000000000a1", "x"});
+  BusyClient client(address, call);
+  REQUIRE(site.turn_until([&] {
+    client.turn();
+    return site.host.execs == 1 && client.answered() > 0;
+  }));
+  const Millis told = site.loop.now();
+  site.program->tell(SIGTERM);
+  REQUIRE(site.turn_until([&] {
+    client.turn();
+    site.loop.at(site.loop.now(), [] {});  // the loop does not wait, so that input is always on its way
+    return site.program->ended().has_value();
+  }));
+  CHECK((site.loop.now() - told).count() < 1700);
+  client.turn();
+  CHECK(client.state() == BusyClient::State::closed_in_order);
+  CHECK(client.first_word() == "FAILED");
+  CHECK(site.program->ended() == 0);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
