--- /dev/null
+++ b/tests/lotusyard/random_faults_test.cpp
@@ -0,0 +1,345 @@
+// A few hundred calls over loopback under random faults of system calls, with every rule checked.
+#include <catch2/catch.hpp>
+#include <functional>
+#include <list>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "core/dispatcher.h"
+#include "hosts/fleet.h"
+#include "resp/front.h"
+#include "support/call_book.h"
+#include "support/call_client.h"
+#include "support/faulty_calls.h"
+#include "support/random_host.h"
+#include "support/settings.h"
+
+namespace lotusyard::test {
+namespace {
+
+using robinfold::Semantics;
+using Violations = std::vector<std::string>;
+
+constexpr std::size_t kHosts = 4, kClients = 6, kCalls = 300;
+constexpr Millis kShortestAllow{100}, kSpreadOfAllow{700};
+constexpr Millis kAfterLeaving{100};  // an attempt may begin so long after its client has gone
+constexpr Millis kTimeoutSlack{150};  // a host may be told a time-out longer than the client's by so much
+constexpr Millis kSocketSlack{50};    // every other limit grows by so much on sockets
+constexpr Millis kLateAnswers{300};   // watched for so long once all is answered
+constexpr std::uint64_t kCrossingPolls = 5;  // what was written before is read by then
+constexpr Millis kCrossing{10};
+constexpr Millis kLongestPlay{20000}, kLongestCheck{3000};  // limits on waits
+
+core::Settings settings_of_all_semantics() {
+  core::Settings s = settings();
+  robinfold::ClassSettings keyed = s.classes[0];
+  keyed.name = "bin-keyed";
+  keyed.semantics = Semantics::keyed;
+  keyed.scope = robinfold::KeyScope::all;
+  keyed.key_window = Millis(10000);
+  s.classes.push_back(keyed);
+  return s;
+}
+
+/// An invoker's parts with clients and hosts, all on one loop; the invoker's system calls fail.
+class Session {
+ public:
+  explicit Session(std::uint64_t seed)
+      : random_(seed),
+        clock_(loop_),
+        fleet_(loop_, pool_, counters_, fleet_limits()),
+        dispatcher_(
+            settings_, [this] { return loop_.now(); }, fleet_, counters_),
+        front_(loop_, pool_, dispatcher_, counters_, {}) {
+    fleet_.attach(dispatcher_);
+    REQUIRE(front_.listen("127.0.0.1:0"));
+    calls_ = std::make_unique<FaultyCalls>(seed + 1, FaultyCalls::Rates(), front_.address());
+    for (std::size_t i = 0; i < kHosts; ++i) {
+      hosts_.push_back(std::make_unique<RandomHost>(loop_, pool_, book_, now_, i, seed + 2 + i));
+    }
+    list_hosts();
+    hosts_.back()->server.stop();  // refuses connections
+  }
+
+  /// Plays all calls to their end. False if that was not reached in the time allowed.
+  bool play() {
+    const net::ScopedSystemCalls faults(*calls_);
+    if (!turn_until([this] { return made_ == kCalls && all_settled(); }, kLongestPlay)) return false;
+    turn_until([] { return false; }, kLateAnswers);
+    return true;
+  }
+  /// True if a client that connects now is answered.
+  bool serves_newcomer() {
+    const net::ScopedSystemCalls faults(*calls_);
+    CallClient& client = connect_client();
+    client.check();
+    return turn_until([&] { return client.up() || client.closed(); }, kLongestCheck) && client.up();
+  }
+
+  const CallBook& book() const { return book_; }
+  const FaultyCalls::Counts& faults() const { return calls_->counts(); }
+  std::size_t open_in_invoker() const { return dispatcher_.open() + front_.open_calls(); }
+  const core::Settings& settings() const { return settings_; }
+
+ private:
+  using Clients = std::list<std::shared_ptr<CallClient>>;
+  core::Settings settings_ = settings_of_all_semantics();
+  Random random_;
+  net::Loop loop_;
+  net::BufferPool pool_{4096};
+  TurnClock clock_;
+  CallBook book_;
+  core::Counters counters_;
+  std::unique_ptr<FaultyCalls> calls_;
+  std::function<Moment()> now_ = [this] { return Moment{clock_.now(), calls_->polls()}; };
+  std::vector<std::unique_ptr<RandomHost>> hosts_;
+  hosts::Fleet fleet_;
+  core::Dispatcher dispatcher_;
+  resp::Front front_;
+  Clients clients_;
+  std::size_t made_ = 0;
+
+  static hosts::Limits fleet_limits() {
+    hosts::Limits limits;
+    limits.report_fields = {"inflight", "util"};
+    return limits;
+  }
+  void list_hosts() {
+    core::MemberList list{true, {}};
+    core::HostList entries{core::ListKind::full, {}};
+    for (std::size_t i = 0; i < kHosts; ++i) {
+      core::Member member;
+      member.entry.worker = "h" + std::to_string(i);
+      member.address = hosts_[i]->server.address();
+      list.members.push_back(member);
+      entries.entries.push_back(member.entry);
+    }
+    fleet_.members(list);
+    dispatcher_.members(std::move(entries));
+  }
+  bool chance(std::size_t in_hundred) { return below(random_, 100) < in_hundred; }
+  CallClient& connect_client() {
+    clients_.push_back(calls_->spare(
+        [this] { return std::make_shared<CallClient>(loop_, pool_, book_, now_, front_.address()); }));
+    return *clients_.back();
+  }
+  // Clients act between reads and writes, so that what they say leaves in the same turn.
+  template <typename Until>
+  bool turn_until(const Until& until, Millis most) {
+    const Millis limit = clock_.now() + most;
+    while (!until() && clock_.now() < limit) {
+      clock_.next_turn();
+      loop_.turn(std::min(dispatcher_.next_due(), loop_.now() + Millis(5)), [this] {
+        dispatcher_.tick();
+        if (made_ < kCalls) act();
+      });
+    }
+    return until();
+  }
+  void act() {
+    clients_.remove_if([](const auto& client) { return client->closed(); });
+    if (clients_.size() < kClients) connect_client();
+    auto client = std::next(clients_.begin(), static_cast<std::ptrdiff_t>(below(random_, clients_.size())));
+    if (!(*client)->open()) return;
+    if (chance(60) && (*client)->open_calls() < 16) make_calls(**client);
+    if ((*client)->open_calls() > 0 && chance(8)) (*client)->cancel(below(random_, (*client)->open_calls()));
+    if (chance(2)) (*client)->leave();
+  }
+  void make_calls(CallClient& client) {
+    for (std::size_t i = 1 + below(random_, 3); i > 0 && made_ < kCalls; --i) {
+      const auto& cls = settings_.classes[below(random_, settings_.classes.size())];
+      CallRecord record;
+      record.ref = net::hex16(++made_);
+      record.semantics = cls.semantics;
+      record.allow =
+          kShortestAllow + Millis(static_cast<double>(below(random_, std::size_t(kSpreadOfAllow.count()))));
+      const std::size_t size = chance(5) ? 16384 : below(random_, 2000);
+      client.call(std::move(record), cls.name, std::string(size, 'c'));
+    }
+  }
+  bool all_settled() const {
+    const Millis grace = settings_.answer_grace + kSocketSlack + TurnClock::kLongestTurn;
+    for (const auto& [ref, call] : book_.calls) {
+      const bool over = !call.answers.empty() || call.withdrawn || call.cut_off;
+      if (!over && clock_.now() <= call.sent.at + call.allow + grace) return false;
+    }
+    return true;
+  }
+};
+
+std::string described(const CallRecord& call, const std::string& what) { return call.ref + ": " + what; }
+
+std::string in_ms(Millis span) { return std::to_string(span.count()) + " ms"; }
+
+Violations calls_without_exactly_one_answer(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    if (call.answers.size() > 1) found.push_back(described(call, "answered more than once"));
+    if (call.withdrawn || call.answers.size() == 1) continue;
+    if (call.cut_off) found.push_back(described(call, "its connection was closed with no answer"));
+    if (!call.cut_off && call.answers.empty()) found.push_back(described(call, "never answered"));
+  }
+  return found;
+}
+
+Violations late_answers(const CallBook& book, Millis answer_grace) {
+  Violations found;
+  const Millis slack = answer_grace + kSocketSlack + TurnClock::kLongestTurn;
+  for (const auto& [ref, call] : book.calls) {
+    if (call.withdrawn || call.answers.empty()) continue;
+    const Millis late = call.answers[0].came.at - call.sent.at - call.allow;
+    if (late > slack) found.push_back(described(call, "answered " + in_ms(late) + " after its deadline"));
+  }
+  return found;
+}
+
+// An answer may cross with the cancellation.
+Violations answers_after_cancellation(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    if (!call.withdrawn || call.answers.empty()) continue;
+    const Millis after = call.answers[0].came.at - call.withdrawn->at;
+    if (after > kAfterLeaving) found.push_back(described(call, "answered " + in_ms(after) + " after CANCEL"));
+  }
+  return found;
+}
+
+Violations served_bodies_that_no_host_gave(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    for (const auto& answer : call.answers) {
+      if (answer.words.size() < 2) {
+        found.push_back(described(call, "an answer of one word"));
+      } else if (answer.words[1] == "OK" &&
+                 (answer.words.size() != 4 || call.bodies_given.count(answer.words[3]) == 0)) {
+        found.push_back(described(call, "served with a body that no host gave"));
+      }
+    }
+  }
+  return found;
+}
+
+Violations repeats_of_what_may_have_run(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    if (call.semantics != Semantics::once) continue;
+    for (std::size_t i = 0; i + 1 < call.attempts.size(); ++i) {
+      if (!call.attempts[i].never_ran()) {
+        found.push_back(described(call, "sent again, but attempt " + std::to_string(i) + " may have run"));
+      }
+    }
+  }
+  return found;
+}
+
+Violations refusals_of_what_may_have_run(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    if (call.semantics != Semantics::once || call.answers.empty()) continue;
+    const auto& words = call.answers[0].words;
+    if (words.size() < 2 || words[1] != "BUSY") continue;
+    for (const auto& attempt : call.attempts) {
+      if (!attempt.never_ran()) found.push_back(described(call, "refused, but an attempt may have run"));
+    }
+  }
+  return found;
+}
+
+// A drop and the next attempt go over different connections: the drop may be read a moment later.
+Violations overlapping_attempts(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    for (std::size_t i = 0; i + 1 < call.attempts.size(); ++i) {
+      const auto& over = call.attempts[i].over;
+      const Moment& next = call.attempts[i + 1].came;
+      const bool ended_in_time =
+          over && (over->poll <= next.poll + kCrossingPolls || over->at <= next.at + kCrossing);
+      if (!ended_in_time) {
+        found.push_back(described(call, "sent again while attempt " + std::to_string(i) + " was out"));
+      }
+    }
+  }
+  return found;
+}
+
+Violations attempts_beyond_the_bound(const CallBook& book, int max_attempts) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    if (call.attempts.size() > static_cast<std::size_t>(max_attempts)) {
+      found.push_back(described(call, std::to_string(call.attempts.size()) + " attempts"));
+    }
+  }
+  return found;
+}
+
+Violations attempts_after_the_client_left(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    for (const auto& attempt : call.attempts) {
+      if (!call.withdrawn) continue;
+      const Millis after = attempt.came.at - call.withdrawn->at;
+      if (after > kAfterLeaving + TurnClock::kLongestTurn) {
+        found.push_back(described(call, "sent to a host " + in_ms(after) + " after its client left"));
+      }
+    }
+  }
+  return found;
+}
+
+Violations timeouts_beyond_the_clients(const CallBook& book) {
+  Violations found;
+  for (const auto& [ref, call] : book.calls) {
+    for (const auto& attempt : call.attempts) {
+      const Millis left = call.sent.at + call.allow - attempt.came.at;
+      if (attempt.timeout > left + kTimeoutSlack) {
+        found.push_back(described(call, "a host was told " + in_ms(attempt.timeout) + " with " + in_ms(left) +
+                                            " left to the client"));
+      }
+    }
+  }
+  return found;
+}
+
+// Among the answers; 0 without any.
+double share_served(const CallBook& book) {
+  std::size_t answers = 0, served = 0;
+  for (const auto& [ref, call] : book.calls) {
+    for (const auto& answer : call.answers) {
+      ++answers;
+      served += answer.words.at(1) == "OK" ? 1 : 0;
+    }
+  }
+  return answers == 0 ? 0 : static_cast<double>(served) / static_cast<double>(answers);
+}
+
+TEST_CASE("all rules hold for a few hundred calls while system calls fail at random", "[faults]") {
+  const auto seed = GENERATE(std::uint64_t{11}, std::uint64_t{1107}, std::uint64_t{90210});
+  CAPTURE(seed);
+  Session session(seed);
+  REQUIRE(session.play());
+  const CallBook& book = session.book();
+  const Violations none;
+  CHECK(book.calls.size() == kCalls);
+  CHECK(book.strays == none);
+  CHECK(calls_without_exactly_one_answer(book) == none);
+  CHECK(late_answers(book, session.settings().answer_grace) == none);
+  CHECK(answers_after_cancellation(book) == none);
+  CHECK(served_bodies_that_no_host_gave(book) == none);
+  CHECK(repeats_of_what_may_have_run(book) == none);
+  CHECK(refusals_of_what_may_have_run(book) == none);
+  CHECK(overlapping_attempts(book) == none);
+  CHECK(attempts_beyond_the_bound(book, session.settings().max_attempts) == none);
+  CHECK(attempts_after_the_client_left(book) == none);
+  CHECK(timeouts_beyond_the_clients(book) == none);
+  CHECK(session.open_in_invoker() == 0);
+  CHECK(session.serves_newcomer());
+  // The faults were there, and calls were served in spite of them.
+  const auto& faults = session.faults();
+  CHECK((faults.accept > 0 && faults.socket > 0 && faults.connect > 0 && faults.poll > 0));
+  CHECK((faults.interrupted > 0 && faults.cut_short > 0 && faults.broken > 0));
+  CHECK(share_served(book) > 0.25);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
--- /dev/null
+++ b/tests/lotusyard/support/call_book.h
@@ -0,0 +1,75 @@
+// What clients and hosts saw of each call, for checks of the rules once all is over.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/types.h"
+#include "net/loop.h"
+#include "resp/parser.h"
+
+namespace lotusyard::test {
+
+using core::Millis;
+
+/// The loop's clock, except that one turn counts for so much at most: what the machine did not let this
+/// process do in time is no fault of the code under test.
+class TurnClock {
+ public:
+  static constexpr Millis kLongestTurn{15};
+  explicit TurnClock(const net::Loop& loop) : loop_(loop), turn_began_(loop.now()) {}
+  Millis now() const { return before_ + std::min(loop_.now() - turn_began_, kLongestTurn); }
+  void next_turn() {
+    before_ = now();
+    turn_began_ = loop_.now();
+  }
+
+ private:
+  const net::Loop& loop_;
+  Millis before_{0}, turn_began_;
+};
+
+/// When something was seen: the time, and the number of polls before it.
+struct Moment {
+  Millis at{0};
+  std::uint64_t poll = 0;
+};
+
+/// An exec as its host saw it.
+struct HostAttempt {
+  std::size_t host = 0;
+  Moment came;
+  Millis timeout{0};
+  std::string answer;          // the word that the host gave; empty: none
+  std::optional<Moment> over;  // answered, dropped, or its connection closed
+  bool never_ran() const { return answer == "absent" || answer == "full" || answer == "moot"; }
+};
+
+struct ClientAnswer {
+  Moment came;
+  resp::Words words;
+};
+
+struct CallRecord {
+  std::string ref;
+  robinfold::Semantics semantics = robinfold::Semantics::once;
+  Millis allow{0};
+  Moment sent;
+  std::optional<Moment> withdrawn;  // cancelled, or its client closed the connection
+  bool cut_off = false;             // the invoker closed the connection first
+  std::vector<ClientAnswer> answers;
+  std::vector<HostAttempt> attempts;
+  std::set<std::string> bodies_given;  // by hosts, with `data`
+};
+
+struct CallBook {
+  std::map<std::string, CallRecord> calls;  // by ref
+  std::vector<std::string> strays;          // answers and execs that belong to no call
+};
+
+}  // namespace lotusyard::test
--- /dev/null
+++ b/tests/lotusyard/support/call_client.h
@@ -0,0 +1,101 @@
+// A client of the platform's front that records its calls and what came of them.
+#pragma once
+
+#include <catch2/catch.hpp>
+#include <functional>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "net/fields.h"
+#include "net/stream.h"
+#include "resp/parser.h"
+#include "support/call_book.h"
+
+namespace lotusyard::test {
+
+class CallClient final : public net::Stream {
+ public:
+  using Now = std::function<Moment()>;
+  CallClient(net::Loop& loop, net::BufferPool& pool, CallBook& book, Now now, const std::string& address)
+      : Stream(loop, pool, net::connect_to(address), true), book_(book), now_(std::move(now)) {}
+
+  bool closed() const { return closed_; }
+  /// True once this client was told `UP`.
+  bool up() const { return up_; }
+  std::size_t open_calls() const { return refs_.size(); }
+
+  /// Sends a call; its bytes leave at the end of the turn.
+  void call(CallRecord record, const std::string& class_name, const std::string& body) {
+    const std::string tag = std::to_string(++last_tag_);
+    const std::string fields =
+        "ref=" + record.ref + ",allow=" + std::to_string(static_cast<int>(record.allow.count())) +
+        ",lookup=00000000000000a1,spec=memory_mb:300;lanes:4" +
+        (record.semantics == robinfold::Semantics::keyed ? ",replay=k" + record.ref : "");
+    say({"CALL", tag, class_name, fields, body});
+    record.sent = now_();
+    refs_[tag] = record.ref;
+    book_.calls.emplace(record.ref, std::move(record));
+  }
+  /// Takes the open call of the given place back.
+  void cancel(std::size_t place) {
+    const auto found = std::next(refs_.begin(), static_cast<std::ptrdiff_t>(place));
+    say({"CANCEL", found->first});
+    book_.calls.at(found->second).withdrawn = now_();
+    cancelled_[found->first] = found->second;
+    refs_.erase(found);
+  }
+  void check() { say({"CHECK", std::to_string(++last_tag_), ""}); }
+  /// Closes the connection with whatever is open on it.
+  void leave() {
+    for (const auto& [tag, ref] : refs_) book_.calls.at(ref).withdrawn = now_();
+    refs_.clear();
+    end_later();
+  }
+
+ private:
+  CallBook& book_;
+  Now now_;
+  resp::Parser parser_;
+  std::map<std::string, std::string> refs_, cancelled_, answered_;  // by tag
+  std::uint64_t last_tag_ = 0;
+  bool closed_ = false, up_ = false;
+
+  void say(const std::vector<std::string_view>& words) {
+    std::string out;
+    resp::write_array(out, words);
+    write(out);
+  }
+  void connected() override { loop().flush_later(*this); }
+  void received(std::string_view bytes) override {
+    std::vector<resp::Words> answers;
+    REQUIRE(parser_.take(bytes, answers));
+    for (auto& words : answers) take(std::move(words));
+  }
+  void take(resp::Words&& words) {
+    const auto open = refs_.find(words.at(0));
+    const auto cancelled = cancelled_.find(words[0]);
+    if (words.size() == 2 && words[1] == "UP") {
+      up_ = true;
+    } else if (open != refs_.end()) {
+      const std::string ref = open->second;
+      refs_.erase(open);
+      answered_[words[0]] = ref;
+      book_.calls.at(ref).answers.push_back({now_(), std::move(words)});
+    } else if (cancelled != cancelled_.end()) {
+      book_.calls.at(cancelled->second).answers.push_back({now_(), std::move(words)});
+    } else if (const auto answered = answered_.find(words[0]); answered != answered_.end()) {
+      book_.calls.at(answered->second).answers.push_back({now_(), std::move(words)});
+    } else {
+      book_.strays.push_back("answer under tag " + words[0]);
+    }
+  }
+  void ended() override {
+    closed_ = true;
+    for (const auto& [tag, ref] : refs_) book_.calls.at(ref).cut_off = true;
+    refs_.clear();
+  }
+};
+
+}  // namespace lotusyard::test
--- /dev/null
+++ b/tests/lotusyard/support/faulty_calls.h
@@ -0,0 +1,146 @@
+// System calls that fail at random, for the invoker's sockets alone.
+#pragma once
+
+#include <netinet/in.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cstdint>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "net/system_calls.h"
+#include "support/random.h"
+
+namespace lotusyard::test {
+
+/// Fails calls of the invoker's as Linux documents it, from a seed, and passes all others to the kernel. The
+/// invoker's are told from those of the stand-ins in its process by their descriptors: connections that were
+/// accepted on the front's port, and those that were opened outside `spare`. The first call of each kind
+/// fails, so that no run goes without: the first accept does so while no client is connected whose end could
+/// bring another try.
+class FaultyCalls final : public net::SystemCalls {
+ public:
+  /// Chances in a thousand.
+  struct Rates {
+    unsigned accept = 150, socket = 150, connect = 150, poll = 40;
+    unsigned interrupted = 30, cut_short = 100;  // of reads and writes
+    unsigned broken = 5;                         // of reads and writes on connections to hosts
+  };
+  struct Counts {
+    std::uint64_t accept = 0, socket = 0, connect = 0, poll = 0, interrupted = 0, cut_short = 0, broken = 0;
+  };
+
+  FaultyCalls(std::uint64_t seed, const Rates& rates, const std::string& front_address)
+      : random_(seed),
+        rates_(rates),
+        front_port_(std::stoi(front_address.substr(front_address.rfind(':') + 1))) {}
+
+  /// Runs `make`; sockets that it opens never fail.
+  template <typename Make>
+  auto spare(const Make& make) {
+    sparing_ = true;
+    auto made = make();
+    sparing_ = false;
+    return made;
+  }
+  const Counts& counts() const { return counts_; }
+  /// Polls that did not fail: in each of them all that could be read was reported.
+  std::uint64_t polls() const { return polls_; }
+
+  int socket(int domain, int type, int protocol) override {
+    if (!sparing_ && is_due(counts_.socket, rates_.socket))
+      return fail(counts_.socket, {ENFILE, EMFILE, ENOBUFS});
+    const int fd = SystemCalls::socket(domain, type, protocol);
+    forget(fd);
+    return fd;
+  }
+  int connect(int fd, const sockaddr* address, socklen_t size) override {
+    if (sparing_) return SystemCalls::connect(fd, address, size);
+    if (is_due(counts_.connect, rates_.connect))
+      return fail(counts_.connect, {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
+    to_hosts_.insert(fd);
+    return SystemCalls::connect(fd, address, size);
+  }
+  int accept(int fd, int flags) override {
+    const bool front = is_front(fd);
+    if (front && counts_.accept == 0) return fail_accept({ENOBUFS});
+    if (front && accepts_failed_in_a_row_ < kMostInARow && is_due(counts_.accept, rates_.accept)) {
+      return fail_accept({ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM});
+    }
+    if (front) accepts_failed_in_a_row_ = 0;
+    const int accepted = SystemCalls::accept(fd, flags);
+    forget(accepted);
+    if (front && accepted >= 0) from_clients_.insert(accepted);
+    return accepted;
+  }
+  ssize_t receive(int fd, void* buffer, std::size_t size) override {
+    if (fails(fd)) return -1;
+    return SystemCalls::receive(fd, buffer, shortened(fd, size));
+  }
+  ssize_t send(int fd, const void* bytes, std::size_t size) override {
+    if (fails(fd)) return -1;
+    return SystemCalls::send(fd, bytes, shortened(fd, size));
+  }
+  int poll(pollfd* descriptors, nfds_t count, int timeout_ms) override {
+    if (is_due(counts_.poll, rates_.poll)) return fail(counts_.poll, {EINTR});
+    ++polls_;
+    return SystemCalls::poll(descriptors, count, timeout_ms);
+  }
+
+ private:
+  // Failures to accept last a moment: calls on a connection that waits longer can't be answered in time.
+  static constexpr int kMostInARow = 2;
+  Random random_;
+  Rates rates_;
+  Counts counts_;
+  int front_port_;
+  bool sparing_ = false;
+  int accepts_failed_in_a_row_ = 0;
+  std::uint64_t polls_ = 0;
+  std::set<int> to_hosts_, from_clients_;
+
+  bool is_due(std::uint64_t failed_before, unsigned in_thousand) {
+    return failed_before == 0 || below(random_, 1000) < in_thousand;
+  }
+  int fail(std::uint64_t& count, const std::vector<int>& errors) {
+    ++count;
+    errno = errors[below(random_, errors.size())];
+    return -1;
+  }
+  int fail_accept(const std::vector<int>& errors) {
+    ++accepts_failed_in_a_row_;
+    return fail(counts_.accept, errors);
+  }
+  // A new descriptor has the number of one that was closed.
+  void forget(int fd) {
+    to_hosts_.erase(fd);
+    from_clients_.erase(fd);
+  }
+  bool is_front(int listener) const {
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    if (getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size) != 0) return false;
+    return ntohs(address.sin_port) == front_port_;
+  }
+  bool is_invokers(int fd) const { return to_hosts_.count(fd) != 0 || from_clients_.count(fd) != 0; }
+  bool fails(int fd) {
+    if (!is_invokers(fd)) return false;
+    if (to_hosts_.count(fd) != 0 && is_due(counts_.broken, rates_.broken)) {
+      fail(counts_.broken, {ETIMEDOUT, EHOSTUNREACH, ECONNRESET});
+      return true;
+    }
+    if (!is_due(counts_.interrupted, rates_.interrupted)) return false;
+    fail(counts_.interrupted, {EINTR});
+    return true;
+  }
+  std::size_t shortened(int fd, std::size_t size) {
+    if (size < 2 || !is_invokers(fd) || !is_due(counts_.cut_short, rates_.cut_short)) return size;
+    ++counts_.cut_short;
+    return 1 + below(random_, std::min<std::size_t>(size - 1, 100));
+  }
+};
+
+}  // namespace lotusyard::test
