--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <functional>
+#include <optional>
 #include <unordered_set>
 
 #include "net/fields.h"
@@ -15,7 +16,8 @@
 constexpr std::uint64_t kLongestAllow = std::uint64_t{3600} * 1000;
 constexpr std::size_t kAcceptsATurn = 64;
 constexpr int kMaxAcceptTurnsAtStop = 16;  // of kAcceptsATurn each: more than the kernel's queue holds
-constexpr core::Millis kMinAcceptBackoff{10}, kMaxAcceptBackoff{500};
+// Calls may wait on connections that the kernel has accepted already, so the pause is short.
+constexpr core::Millis kMinAcceptBackoff{5}, kMaxAcceptBackoff{20};
 constexpr std::size_t kFaultsMost = 64;        // calls of one connection that were turned away unread
 constexpr std::size_t kUnreadMost = 1U << 20;  // answers that a client has not read
 
@@ -51,6 +53,10 @@
     if (open_calls.empty()) return close();
     restart_timer(front_.limits_.rejected_timeout, [this] { front_.fail_open_calls(*this); });
   }
+  // Its first bytes may have come at any time since then, while connections could not be accepted.
+  void waited_since(core::Millis time) { waited_since_ = time; }
+  // When what is read now had come at the earliest. Time spent on what was read before comes off, too.
+  core::Millis arrival_of_input() const { return waited_since_.value_or(loop().turn_began()); }
   // The last open call was answered: closes a connection that had to wait for it.
   void all_answered() {
     if (overdue_ || rejected_) close();
@@ -70,6 +76,7 @@
   bool begun_ = true;      // a newcomer owes its first request from the start
   bool overdue_ = false;   // the rest of a request did not come in time
   bool rejected_ = false;  // the client broke the protocol
+  std::optional<core::Millis> waited_since_, first_read_;
 
   void restart_timer(core::Millis span, std::function<void()> ring) {
     loop().cancel(request_timer_);
@@ -87,6 +94,7 @@
   }
   void backlog_discarded() override { front_.counters_.add("resp.unread_closed"); }
   void received(std::string_view bytes) override {
+    note_reading();
     std::vector<Words> commands;
     const bool sound = parser_.take(bytes, commands);
     if (!commands.empty() && !front_.promote(*this)) return front_.turn_away(*this, commands);
@@ -107,6 +115,12 @@
     front_.counters_.add("resp.malformed");
     reject_input();
   }
+  // What is read in a later turn than the first bytes did not wait for the connection to be accepted.
+  void note_reading() {
+    const core::Millis turn = loop().turn_began();
+    if (!first_read_) first_read_ = turn;
+    if (*first_read_ != turn) waited_since_.reset();
+  }
   // Danger: hundreds of calls that are taken back in the bytes they came in would each cost a host something.
   void leave_out_taken_back(std::vector<Words>& commands) {
     std::unordered_set<std::string> cancelled;
@@ -242,8 +256,10 @@
     newcomers_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
     newcomers_.back()->place = std::prev(newcomers_.end());
     newcomers_.back()->list = &newcomers_;
+    if (waiting_since_) newcomers_.back()->waited_since(*waiting_since_);
     bound_newcomers();
   }
+  if (status == net::AcceptStatus::none_waiting) waiting_since_.reset();
   if (status == net::AcceptStatus::retry_later) {
     counters_.add("resp.no_descriptor");
     pause_listening();
@@ -256,6 +272,7 @@
 void Front::pause_listening() {
   if (paused_) return;
   paused_ = true;
+  if (!waiting_since_) waiting_since_ = loop_.turn_began();
   loop_.forget(listener_.fd(), *this);
   accept_backoff_ = std::min(std::max(accept_backoff_ * 2, kMinAcceptBackoff), kMaxAcceptBackoff);
   accept_timer_ = loop_.at(loop_.now() + accept_backoff_, [this] { resume_listening(); });
@@ -335,7 +352,7 @@
   call.retry = field(*fields, "dup") == "1";
   call.memory_mb = memory.value_or(0);
   call.lanes = static_cast<int>(lanes.value_or(1));
-  call.arrived = loop_.turn_began();  // time spent on what was read before it comes off
+  call.arrived = client.arrival_of_input();
   call.allow = core::Millis(static_cast<double>(*allow));
   if (size > 0) call.body = std::move(words[4]);
 
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -3,6 +3,7 @@
 
 #include <list>
 #include <memory>
+#include <optional>
 #include <string>
 #include <system_error>
 #include <unordered_map>
@@ -73,6 +74,7 @@
   bool paused_ = false;  // the listener is not watched until `accept_timer_` rings or a client goes
   net::Loop::TimerId accept_timer_{};
   core::Millis accept_backoff_{0};
+  std::optional<core::Millis> waiting_since_;  // since when connections may wait to be accepted
 
   void ready(short events) override;
   bool promote(Client& client);
