--- a/include/robinfold/policy.h
+++ b/include/pathstack/policy.h
@@ -1,4 +1,4 @@
-// The interface of robinfold: settings and events go in, actions come out. No decision lives here.
+// The interface of the decision module: settings and events go in, actions come out. No decision lives here.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-namespace robinfold {
+namespace pathstack::policy {
 
 using Millis = std::chrono::duration<double, std::milli>;  // a span, or a time on the caller's clock
 
@@ -214,4 +214,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace robinfold
+}  // namespace pathstack::policy
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -4,7 +4,7 @@
 
 #include "amqp/methods.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 namespace {
 
 using net::Millis;
@@ -254,4 +254,4 @@
   quiet_ = loop().at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
 }
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -9,7 +9,7 @@
 #include "core/counters.h"
 #include "net/stream.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 
 struct Broker {
   std::string address, user = "guest", password = "guest", vhost = "/";
@@ -82,4 +82,4 @@
   bool lost(const char* why);
 };
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -5,7 +5,7 @@
 
 #include "net/fields.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 namespace {
 
 using core::Millis;
@@ -30,7 +30,7 @@
   return p.message_id.empty() ? "\n" + p.reply_to + "\n" + p.correlation_id : p.message_id;
 }
 
-const robinfold::ClassSettings* class_named(const core::Settings& settings, const std::string& name) {
+const pathstack::policy::ClassSettings* class_named(const core::Settings& settings, const std::string& name) {
   for (const auto& c : settings.classes) {
     if (c.name == name) return &c;
   }
@@ -157,7 +157,7 @@
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   const auto* cls = class_named(settings_, call.class_name);
-  const bool once = cls->semantics == robinfold::Semantics::once;
+  const bool once = cls->semantics == pathstack::policy::Semantics::once;
   // Danger: another process, or this one before a restart or in a time now forgotten, may have run it.
   if (once && delivery.redelivered) {
     refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
@@ -270,4 +270,4 @@
   }
 }
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -13,7 +13,7 @@
 #include "core/dispatcher.h"
 #include "net/loop.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 
 class Front final : public core::Front, private Consumer {
  public:
@@ -67,4 +67,4 @@
   void resend();
 };
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/memory.cpp
+++ b/src/amqp/memory.cpp
@@ -1,6 +1,6 @@
 #include "amqp/memory.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 namespace {
 
 constexpr std::size_t kEntryBytes = 512;  // about what an entry takes beside its texts
@@ -48,4 +48,4 @@
   for (auto& [id, entry] : entries_) entry.remembered.waiters.clear();
 }
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/memory.h
+++ b/src/amqp/memory.h
@@ -10,7 +10,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 
 struct Address {  // where an answer goes, and what it answers there
   std::string reply_to, correlation_id;
@@ -55,4 +55,4 @@
   void forget(const std::string& id);
 };
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/methods.h
+++ b/src/amqp/methods.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-namespace lotusyard::amqp::method {
+namespace pathstack::amqp::method {
 
 constexpr std::uint32_t id(std::uint32_t cls, std::uint32_t number) { return cls << 16 | number; }
 
@@ -22,4 +22,4 @@
 constexpr std::uint32_t basic_reject = id(60, 90), basic_nack = id(60, 120);
 constexpr std::uint32_t confirm_select = id(85, 10), confirm_select_ok = id(85, 11);
 
-}  // namespace lotusyard::amqp::method
+}  // namespace pathstack::amqp::method
--- a/src/amqp/wire.cpp
+++ b/src/amqp/wire.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstring>
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 namespace {
 
 constexpr char kFrameEnd = static_cast<char>(0xCE);
@@ -226,4 +226,4 @@
   return std::make_pair(size, std::move(p));
 }
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/amqp/wire.h
+++ b/src/amqp/wire.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-namespace lotusyard::amqp {
+namespace pathstack::amqp {
 
 enum class FrameType : std::uint8_t { method = 1, header = 2, body = 3, heartbeat = 8 };
 
@@ -88,4 +88,4 @@
 // Nothing if it is malformed or not of class basic.
 std::optional<std::pair<std::uint64_t, Properties>> read_content_header(std::string_view payload);
 
-}  // namespace lotusyard::amqp
+}  // namespace pathstack::amqp
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace lotusyard::app {
+namespace pathstack::app {
 namespace {
 
 using core::Millis;
@@ -116,7 +116,7 @@
       update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
     } else if (read != feed::Log::Read::nothing) {
       counters_.add("feed.known_unread");
-      errors_.write_line("lotusyard: known: an event cannot be read; asking the change log from " +
+      errors_.write_line("pathstack-invoker: known: an event cannot be read; asking the change log from " +
                          std::to_string(log.last()));
       return log;  // the change log tells the rest again
     }
@@ -136,7 +136,7 @@
     return;
   }
   const auto on_rejected = [this](const std::string& fault) {
-    errors_.write_line("lotusyard: xds.file: " + fault);
+    errors_.write_line("pathstack-invoker: xds.file: " + fault);
   };
   host_file_.emplace(loop_, counters_, config_.xds->file, config_.xds->cluster, config_.xds->reread,
                      on_update, on_rejected);
@@ -154,13 +154,13 @@
     if (!net::is_transient_listen_error(error) || loop_.now() >= give_up) {
       throw config::ConfigError("configuration: listen: " + fault);
     }
-    if (!std::exchange(reported, true)) errors_.write_line("lotusyard: " + fault + "; retrying");
+    if (!std::exchange(reported, true)) errors_.write_line("pathstack-invoker: " + fault + "; retrying");
     if (!run_until(loop_.now() + kListenRetryPause)) {
       ended_ = true;
       return;
     }
   }
-  log_.write_line("lotusyard " + config_.name + " listens on " + front_.address());
+  log_.write_line("pathstack-invoker " + config_.name + " listens on " + front_.address());
 }
 
 // Serves the membership and the signals meanwhile. False, at once, if the program is to end.
@@ -180,7 +180,7 @@
                                    config_.amqp->remembered_mb << 20};
   triggers_.emplace(loop_, pool_, dispatcher_, counters_, config_.settings, broker_of(*config_.amqp), limits);
   triggers_->start();
-  log_.write_line("lotusyard " + config_.name + " takes triggers from " + config_.amqp->broker);
+  log_.write_line("pathstack-invoker " + config_.name + " takes triggers from " + config_.amqp->broker);
 }
 
 // The file is read whole and checked; only then is the list of hosts followed to where it says.
@@ -200,7 +200,7 @@
 // The old configuration goes on.
 void Invoker::on_reload_fault(const std::string& fault, bool last) {
   counters_.add("config.faulty");
-  errors_.write_line("lotusyard: " + fault + (last ? "; not read again before the next SIGHUP" : ""));
+  errors_.write_line("pathstack-invoker: " + fault + (last ? "; not read again before the next SIGHUP" : ""));
 }
 
 // True if the program is to end.
@@ -235,7 +235,7 @@
 
 void Invoker::begin_shutdown(Millis now) {
   shutdown_.begin(now);
-  log_.write_line("lotusyard " + config_.name + " ends: " + std::to_string(dispatcher_.open()) +
+  log_.write_line("pathstack-invoker " + config_.name + " ends: " + std::to_string(dispatcher_.open()) +
                   " calls open");
   front_.drain();
   if (triggers_) triggers_->drain();
@@ -271,4 +271,4 @@
   for (const auto& line : counters_.lines()) log_.write_line(line);
 }
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -19,7 +19,7 @@
 #include "resp/front.h"
 #include "xds/hosts.h"
 
-namespace lotusyard::app {
+namespace pathstack::app {
 
 /// Owns the parts of one invoker and runs them on one thread.
 ///
@@ -75,4 +75,4 @@
   void log_counters();
 };
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/app/reloader.cpp
+++ b/src/app/reloader.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <exception>
 
-namespace lotusyard::app {
+namespace pathstack::app {
 
 void Reloader::request() {
   loop_.cancel(retry_);
@@ -29,4 +29,4 @@
   pause_ = std::min(pause_ * 2, kRetryMost);
 }
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/app/reloader.h
+++ b/src/app/reloader.h
@@ -8,7 +8,7 @@
 #include "core/types.h"
 #include "net/loop.h"
 
-namespace lotusyard::app {
+namespace pathstack::app {
 
 /// Calls `reload` on request, and again with backoff while it throws: the signal may come when the file has
 /// been written half, or is just being replaced. Bounded: after `kAttempts`, 4.75 s from the request, it
@@ -46,4 +46,4 @@
   void failed(const std::string& fault);
 };
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/app/signal_pipe.cpp
+++ b/src/app/signal_pipe.cpp
@@ -10,7 +10,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::app {
+namespace pathstack::app {
 namespace {
 
 volatile std::sig_atomic_t g_terminate = 0;
@@ -92,4 +92,4 @@
   while (read(read_end_.fd(), bytes, sizeof bytes) > 0) {}
 }
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/app/signal_pipe.h
+++ b/src/app/signal_pipe.h
@@ -4,7 +4,7 @@
 #include "net/loop.h"
 #include "net/socket.h"
 
-namespace lotusyard::app {
+namespace pathstack::app {
 
 /// Which signals have come since they were last looked at.
 struct Signals {
@@ -35,4 +35,4 @@
   static void install_handlers();
 };
 
-}  // namespace lotusyard::app
+}  // namespace pathstack::app
--- a/src/average.h
+++ b/src/average.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace robinfold {
+namespace pathstack::policy {
 
 // A moving average: the plain mean at first, then with the given gain; a sample counts at most `outlier`
 // times it.
@@ -38,4 +38,4 @@
   return tag;
 }
 
-}  // namespace robinfold
+}  // namespace pathstack::policy
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -11,7 +11,7 @@
 #include "net/fields.h"
 #include "net/socket.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 namespace {
 
 [[noreturn]] void fault(const std::string& name, const std::string& what) {
@@ -235,4 +235,4 @@
   return out;
 }
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "config/membership_events.h"
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 
 // Its message names the faulty key.
 struct ConfigError : std::runtime_error {
@@ -30,7 +30,7 @@
 // Envoy's list of hosts, in place of the change log.
 struct XdsConfig {
   std::string file, cluster;
-  robinfold::Millis reread{500};
+  pathstack::policy::Millis reread{500};
 };
 
 struct Config {
@@ -41,8 +41,8 @@
   std::size_t memory_mb = 192, sockets = 1024;
   std::uint64_t known_seq = 0;
   std::vector<MembershipEvent> known_events;
-  robinfold::Settings settings;
-  robinfold::Millis connection_idle{15000};
+  pathstack::policy::Settings settings;
+  pathstack::policy::Millis connection_idle{15000};
   std::size_t attempts_a_link = 32;
   std::vector<std::string> report_fields;
 };
@@ -61,4 +61,4 @@
 /// Memory: that of the hosts that the file names, and of one row of them. Throws ConfigError.
 ConfigFile read_config_file(const std::string& path);
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/file_read.cpp
+++ b/src/config/file_read.cpp
@@ -7,7 +7,7 @@
 
 #include "net/socket.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 namespace {
 
 constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;
@@ -28,4 +28,4 @@
   }
 }
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -8,12 +8,12 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 
 using nlohmann::json;
-using robinfold::Millis;
+using pathstack::policy::Millis;
 
 inline const json& absent() {
   static const json null_value;
@@ -63,4 +63,4 @@
   return found == words.end() ? otherwise : found->second;
 }
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/membership_events.cpp
+++ b/src/config/membership_events.cpp
@@ -5,7 +5,7 @@
 
 #include "config/json_read.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 namespace {
 
 using core::WorkerState;
@@ -113,4 +113,4 @@
   return out;
 }
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/membership_events.h
+++ b/src/config/membership_events.h
@@ -10,7 +10,7 @@
 
 #include "core/member.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 
 /// One event as it was written; nothing is checked against the events before it.
 struct MembershipEvent {
@@ -54,4 +54,4 @@
 };
 MembershipLine read_membership_line(const std::string& line);
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -2,9 +2,9 @@
 
 #include "config/json_read.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 
-using namespace robinfold;
+using namespace pathstack::policy;
 
 namespace {
 
@@ -104,4 +104,4 @@
   return out;
 }
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace lotusyard::config {
+namespace pathstack::config {
 
-robinfold::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
+pathstack::policy::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
 
-}  // namespace lotusyard::config
+}  // namespace pathstack::config
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 class Counters {
  public:
@@ -48,4 +48,4 @@
   std::map<std::string, std::uint64_t> values_;
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace lotusyard::core {
+namespace pathstack::core {
 namespace {
 
 // What the module leaves open is ended this long after its deadline, inside the grace that the rules give.
@@ -80,7 +80,7 @@
   open.call = std::move(call);
   open.front = &front;
   for (const auto& c : settings_.classes) {
-    if (c.name == open.call.class_name) open.once = c.semantics == robinfold::Semantics::once;
+    if (c.name == open.call.class_name) open.once = c.semantics == pathstack::policy::Semantics::once;
   }
   due_.push({open.call.arrived + open.call.allow + kOverdue, id, -1});
   run(module_.pick(clock_(), id, open.call));
@@ -115,7 +115,7 @@
 }
 
 void Dispatcher::note_outcome(Open& open, Outcome outcome) {
-  if (!robinfold::proves_never_ran(outcome)) open.may_have_run = true;
+  if (!pathstack::policy::proves_never_ran(outcome)) open.may_have_run = true;
   if (outcome == Outcome::not_sent) ++open.not_sent;
 }
 
@@ -255,4 +255,4 @@
   give_back(id, open, Outcome::cancelled, true);
 }
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -13,7 +13,7 @@
 #include "core/module.h"
 #include "core/types.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 class Dispatcher {
  public:
@@ -92,4 +92,4 @@
   Open* find(CallId id);
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/load_budget.h
+++ b/src/core/load_budget.h
@@ -5,7 +5,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 /// The load budget of the settings (rule 5): within any window an invoker writes at most `floor` load orders
 /// plus `ratio` for each call that it took in that window.
@@ -45,4 +45,4 @@
   }
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/log_writer.cpp
+++ b/src/core/log_writer.cpp
@@ -7,7 +7,7 @@
 #include <cerrno>
 #include <climits>
 
-namespace lotusyard::core {
+namespace pathstack::core {
 namespace {
 
 constexpr std::size_t kMaxPending = std::size_t{64} * 1024;
@@ -48,4 +48,4 @@
   }
 }
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/log_writer.h
+++ b/src/core/log_writer.h
@@ -6,7 +6,7 @@
 
 #include "core/counters.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 /// Writes lines to a descriptor that the program shares with others, such as standard output.
 ///
@@ -30,4 +30,4 @@
   std::string pending_;
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 struct Member {
   WorkerEntry entry;
@@ -18,4 +18,4 @@
   std::vector<Member> members;
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/module.cpp
+++ b/src/core/module.cpp
@@ -2,13 +2,13 @@
 
 #include <limits>
 
-namespace lotusyard::core {
+namespace pathstack::core {
 namespace {
 
-namespace event = robinfold::event;
-namespace action = robinfold::action;
+namespace event = pathstack::policy::event;
+namespace action = pathstack::policy::action;
 
-robinfold::Event event_of(const AttemptOutcome& o) {
+pathstack::policy::Event event_of(const AttemptOutcome& o) {
   event::Answer e;
   e.id = std::to_string(o.attempt.call);
   e.worker = o.host;
@@ -20,14 +20,14 @@
   e.report = o.report;
   return e;
 }
-robinfold::Event event_of(const LoadOutcome& o) {
+pathstack::policy::Event event_of(const LoadOutcome& o) {
   return event::Loaded{o.host, o.function, o.outcome, o.elapsed, o.copies};
 }
-robinfold::Event event_of(const ProbeOutcome& o) {
+pathstack::policy::Event event_of(const ProbeOutcome& o) {
   return event::Probed{o.host, o.outcome, o.elapsed, o.report};
 }
-robinfold::Event event_of(const CallLeft& o) { return event::Left{std::to_string(o.call)}; }
-robinfold::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
+pathstack::policy::Event event_of(const CallLeft& o) { return event::Left{std::to_string(o.call)}; }
+pathstack::policy::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
 
 CallId call_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
 
@@ -69,8 +69,8 @@
   return due_.empty() ? Millis(std::numeric_limits<double>::infinity()) : due_.top().at;
 }
 
-Steps Module::handle(Millis now, const robinfold::Event& event) {
-  std::vector<robinfold::Action> actions;
+Steps Module::handle(Millis now, const pathstack::policy::Event& event) {
+  std::vector<pathstack::policy::Action> actions;
   policy_.handle(now, event, actions);
   Steps steps;
   for (const auto& any : actions) {
@@ -95,4 +95,4 @@
   return steps;
 }
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/module.h
+++ b/src/core/module.h
@@ -10,7 +10,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 struct SendStep {
   CallId call = 0;
@@ -90,11 +90,11 @@
     std::uint64_t order = 0, token = 0;
     bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
-  robinfold::Policy policy_;
+  pathstack::policy::Policy policy_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::uint64_t timers_set_ = 0;
 
-  Steps handle(Millis now, const robinfold::Event& event);
+  Steps handle(Millis now, const pathstack::policy::Event& event);
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
 class Shutdown {
  public:
@@ -42,4 +42,4 @@
   bool past(Millis now, Millis span) const { return begun_ && now - began_ > span; }
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -8,17 +8,17 @@
 #include <utility>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace lotusyard::core {
+namespace pathstack::core {
 
-using robinfold::ListKind;
-using robinfold::Millis;
-using robinfold::Outcome;
-using robinfold::Report;
-using robinfold::Settings;
-using robinfold::WorkerEntry;
-using robinfold::WorkerState;
+using pathstack::policy::ListKind;
+using pathstack::policy::Millis;
+using pathstack::policy::Outcome;
+using pathstack::policy::Report;
+using pathstack::policy::Settings;
+using pathstack::policy::WorkerEntry;
+using pathstack::policy::WorkerState;
 
 using CallId = std::uint64_t;
 
@@ -78,4 +78,4 @@
   virtual void release(const std::string& host, std::uint64_t function) = 0;
 };
 
-}  // namespace lotusyard::core
+}  // namespace pathstack::core
--- a/src/feed/feed.cpp
+++ b/src/feed/feed.cpp
@@ -4,7 +4,7 @@
 
 #include "config/membership_events.h"
 
-namespace lotusyard::feed {
+namespace pathstack::feed {
 
 using core::Millis;
 
@@ -167,4 +167,4 @@
   timer_ = loop_.at(loop_.now() + backoff_.next(), [this] { connect(); });
 }
 
-}  // namespace lotusyard::feed
+}  // namespace pathstack::feed
--- a/src/feed/feed.h
+++ b/src/feed/feed.h
@@ -16,7 +16,7 @@
 #include "net/loop.h"
 #include "net/stream.h"
 
-namespace lotusyard::feed {
+namespace pathstack::feed {
 
 constexpr std::size_t kDefaultMaxEvent = 1U << 20;  // bytes of a line of the change log
 
@@ -78,4 +78,4 @@
   void again();
 };
 
-}  // namespace lotusyard::feed
+}  // namespace pathstack::feed
--- a/src/feed/retry.h
+++ b/src/feed/retry.h
@@ -7,7 +7,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::feed {
+namespace pathstack::feed {
 
 /// The waits of a `Feed`. The defaults are those of the program.
 struct Timeouts {
@@ -66,4 +66,4 @@
   core::Millis silence_, line_;
 };
 
-}  // namespace lotusyard::feed
+}  // namespace pathstack::feed
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 using core::Outcome;
 using core::WorkerState;
@@ -219,4 +219,4 @@
   links.erase(found);
 }
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/fleet.h
+++ b/src/hosts/fleet.h
@@ -16,7 +16,7 @@
 #include "hosts/link.h"
 #include "net/loop.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 /// Owns all connections to hosts, opened as they are needed and bounded for each host and in all. Guards the
 /// drain rule: nothing new goes to a host that the last list does not call ready. Used on the loop's thread
@@ -77,4 +77,4 @@
   void later(core::Outcome failure, Millis timeout, std::function<void()> notify);
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/limits.h
+++ b/src/hosts/limits.h
@@ -7,7 +7,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 using core::Millis;
 
@@ -27,4 +27,4 @@
   std::vector<std::string> report_fields;  // in the order in which the module wants them
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -4,7 +4,7 @@
 
 #include "net/fields.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 bool LineParser::whole_line(std::vector<Reply>& out) {
   std::vector<std::string> words(1);
@@ -66,4 +66,4 @@
   return state_ != State::spoilt;
 }
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 struct Reply {
   std::string id, word, fields;     // fields: empty for '-'
@@ -31,4 +31,4 @@
   bool whole_line(std::vector<Reply>& out);
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 namespace {
 
 using core::Outcome;
@@ -394,4 +394,4 @@
   }
 }
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/link.h
+++ b/src/hosts/link.h
@@ -18,7 +18,7 @@
 #include "net/fields.h"
 #include "net/stream.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 class Link;
 
@@ -138,4 +138,4 @@
   void update_idle_timer();
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/liveness.cpp
+++ b/src/hosts/liveness.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 namespace {
 
 constexpr Millis kMinSilence{200};      // a connection with something out is checked once silent for so long,
@@ -36,4 +36,4 @@
   return now - last_used() > allowed ? Verdict::check_due : Verdict::fine;
 }
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/liveness.h
+++ b/src/hosts/liveness.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 using core::Millis;
 
@@ -46,4 +46,4 @@
   int checks_since_answer_ = 0;  // to a call
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/ref_history.cpp
+++ b/src/hosts/ref_history.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 namespace {
 
 constexpr Millis kKept{10000};  // a host that is cut off for longer has its connection ended
@@ -48,4 +48,4 @@
   }
 }
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/hosts/ref_history.h
+++ b/src/hosts/ref_history.h
@@ -9,7 +9,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::hosts {
+namespace pathstack::hosts {
 
 using core::Millis;
 
@@ -57,4 +57,4 @@
   void expire(Millis now);
 };
 
-}  // namespace lotusyard::hosts
+}  // namespace pathstack::hosts
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The invoker's program: `lotusyard [FILE]`.
+// The invoker's program: `pathstack-invoker [FILE]`.
 #include <cstdlib>
 #include <exception>
 #include <iostream>
@@ -8,17 +8,17 @@
 
 int main(int count, char** words) {
   if (count > 2) {
-    std::cerr
-        << "usage: lotusyard [FILE]   the configuration; without it the one that BALANCER_CONFIG names\n";
+    std::cerr << "usage: pathstack-invoker [FILE]   the configuration; without it the one that "
+                 "BALANCER_CONFIG names\n";
     return 2;
   }
   const char* const named = count == 2 ? words[1] : std::getenv("BALANCER_CONFIG");
   try {
-    lotusyard::app::Invoker invoker(named == nullptr ? std::string() : named);
+    pathstack::app::Invoker invoker(named == nullptr ? std::string() : named);
     invoker.run();
     return 0;
   } catch (const std::exception& fault) {
-    std::cerr << "lotusyard: " << fault.what() << std::endl;
+    std::cerr << "pathstack-invoker: " << fault.what() << std::endl;
     return 1;
   }
 }
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -7,7 +7,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 BufferPool::Lease BufferPool::take(const Outbox& asker) {
   const bool exhausted = free_.empty() && made_ >= max_blocks_;
@@ -81,4 +81,4 @@
   return Written::all;
 }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 class Outbox;
 
@@ -76,4 +76,4 @@
   void discard();
 };
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <cstdlib>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 std::optional<Fields> parse_fields(std::string_view text, char between, char sign) {
   Fields out;
@@ -58,4 +58,4 @@
   return out;
 }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/fields.h
+++ b/src/net/fields.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 using Fields = std::map<std::string, std::string, std::less<>>;
 
@@ -20,4 +20,4 @@
 std::optional<double> parse_number(const std::string& text);        // finite
 std::string hex16(std::uint64_t value);
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -7,7 +7,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 namespace {
 
 constexpr double kLongestWait = 1000;
@@ -100,4 +100,4 @@
   deferred_.clear();
 }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "net/buffer.h"
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
-using robinfold::Millis;
+using pathstack::policy::Millis;
 
 class Handler {
  public:
@@ -76,4 +76,4 @@
   int wait_for_events(double wait);
 };
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -12,7 +12,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 namespace {
 
 constexpr int kBacklog = 512;  // connections that the kernel accepts ahead of the program
@@ -149,4 +149,4 @@
 
 bool valid_address(const std::string& address) { return resolve(address, 0) != nullptr; }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -5,7 +5,7 @@
 #include <system_error>
 #include <utility>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 class Socket {
  public:
@@ -78,4 +78,4 @@
 std::string bound_address(const Socket& listener);
 bool valid_address(const std::string& address);
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -5,7 +5,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 namespace {
 
 constexpr int kReadsATurn = 8;  // one busy peer must not keep the others waiting
@@ -150,4 +150,4 @@
   }
 }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -6,7 +6,7 @@
 #include "net/loop.h"
 #include "net/socket.h"
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 /// What ended a stream; the first cause counts.
 enum class StreamEnd {
@@ -82,4 +82,4 @@
   void note_end(StreamEnd cause);
 };
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -2,7 +2,7 @@
 
 #include <unistd.h>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 namespace {
 
 SystemCalls*& calls_in_use() {
@@ -57,4 +57,4 @@
 
 ScopedSystemCalls::~ScopedSystemCalls() { calls_in_use() = previous_; }
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <ctime>
 
-namespace lotusyard::net {
+namespace pathstack::net {
 
 /// The calls of the kernel that sockets and the event loop make. The methods have the arguments, results and
 /// `errno` of the system calls whose names they bear. The default implementation passes them to the kernel.
@@ -46,4 +46,4 @@
   SystemCalls* previous_;
 };
 
-}  // namespace lotusyard::net
+}  // namespace pathstack::net
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,5 +1,5 @@
-// The invoker's decisions, after ESFF (departures: docs/design.md). Interface: include/robinfold/policy.h
-#include "robinfold/policy.h"
+// The invoker's decisions, after ESFF (departures: docs/design.md). Interface: include/pathstack/policy.h
+#include "pathstack/policy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 #include "average.h"
 
-namespace robinfold {
+namespace pathstack::policy {
 namespace {
 
 // ---- Constants: unit and reason ------------------------------------------------------------------------
@@ -1127,4 +1127,4 @@
   state_->handle(now, event, out);
 }
 
-}  // namespace robinfold
+}  // namespace pathstack::policy
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -8,7 +8,7 @@
 
 #include "net/fields.h"
 
-namespace lotusyard::resp {
+namespace pathstack::resp {
 namespace {
 
 using net::field;
@@ -448,4 +448,4 @@
   resume_listening();
 }
 
-}  // namespace lotusyard::resp
+}  // namespace pathstack::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -15,7 +15,7 @@
 #include "net/stream.h"
 #include "resp/parser.h"
 
-namespace lotusyard::resp {
+namespace pathstack::resp {
 
 class Front final : public core::Front, private net::Handler {
  public:
@@ -98,4 +98,4 @@
   void gone(Client& client);
 };
 
-}  // namespace lotusyard::resp
+}  // namespace pathstack::resp
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -4,7 +4,7 @@
 
 #include "net/fields.h"
 
-namespace lotusyard::resp {
+namespace pathstack::resp {
 namespace {
 
 constexpr std::size_t kLongestHeader = 12;  // a sign and more digits than any length allowed here has
@@ -82,4 +82,4 @@
   }
 }
 
-}  // namespace lotusyard::resp
+}  // namespace pathstack::resp
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lotusyard::resp {
+namespace pathstack::resp {
 
 using Words = std::vector<std::string>;
 
@@ -34,4 +34,4 @@
 
 void write_array(std::string& out, const std::vector<std::string_view>& words);
 
-}  // namespace lotusyard::resp
+}  // namespace pathstack::resp
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -6,14 +6,14 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  robinfold::simhost::Host host;
+  pathstack::policy::simulator_adapter::Host host;
   std::string line;
   while (std::getline(std::cin, line)) {
     if (line.empty()) continue;
     try {
       std::cout << host.reply(line) << std::endl;
     } catch (const std::exception& fault) {
-      std::cerr << "robinfold: " << fault.what() << '\n';
+      std::cerr << "pathstack-simulator-adapter: " << fault.what() << '\n';
       return 1;
     }
   }
--- a/src/simhost/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -7,10 +7,10 @@
 #include "config/json_read.h"
 #include "config/settings.h"
 
-namespace robinfold::simhost {
+namespace pathstack::policy::simulator_adapter {
 namespace {
 
-using namespace lotusyard::config;
+using namespace pathstack::config;
 
 const std::string& needed_text(const json& value, const char* what) {
   if (!value.is_string()) throw WireError(std::string("no ") + what + " where one is needed");
@@ -199,4 +199,4 @@
                                                                       json::error_handler_t::replace);
 }
 
-}  // namespace robinfold::simhost
+}  // namespace pathstack::policy::simulator_adapter
--- a/src/simhost/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,4 @@
-// Translation between the bench's JSON lines and the interface of robinfold. No decision lives here.
+// Translation between the bench's JSON lines and the interface of the decision module. No decision lives here.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace robinfold::simhost {
+namespace pathstack::policy::simulator_adapter {
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -35,7 +35,7 @@
   void take(Instance& instance, Millis now, const nlohmann::json& message, std::vector<Action>& out);
 };
 
-using lotusyard::config::read_settings;
+using pathstack::config::read_settings;
 nlohmann::json write_action(const Action& action);
 
-}  // namespace robinfold::simhost
+}  // namespace pathstack::policy::simulator_adapter
--- a/src/xds/file_watch.h
+++ b/src/xds/file_watch.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::xds {
+namespace pathstack::xds {
 
 /// Decides from a file's stamps (inode, size, time of change) when it has to be read.
 ///
@@ -52,4 +52,4 @@
   bool changed_ = false, settled_ = false, failed_ = false;
 };
 
-}  // namespace lotusyard::xds
+}  // namespace pathstack::xds
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -10,7 +10,7 @@
 #include "config/json_read.h"
 #include "net/socket.h"
 
-namespace lotusyard::xds {
+namespace pathstack::xds {
 namespace {
 
 using config::key;
@@ -210,4 +210,4 @@
   if (!good && changed && rejected_) rejected_(fault);
 }
 
-}  // namespace lotusyard::xds
+}  // namespace pathstack::xds
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -12,7 +12,7 @@
 #include "net/loop.h"
 #include "xds/file_watch.h"
 
-namespace lotusyard::xds {
+namespace pathstack::xds {
 
 // The endpoints of one cluster. Nothing, and a reason in `fault`, if the text does not hold it whole: half a
 // list must not be taken for one from which hosts were removed.
@@ -52,4 +52,4 @@
   void look();
 };
 
-}  // namespace lotusyard::xds
+}  // namespace pathstack::xds
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,10 +1,10 @@
-// How a router embeds robinfold: hand in events, carry out actions.
+// How a router embeds the decision module: hand in events, carry out actions.
 #include <iostream>
 
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
 int main() {
-  using namespace robinfold;
+  using namespace pathstack::policy;
   Policy policy;
   std::vector<Action> actions;
 
--- a/tests/lotusyard/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -14,7 +14,7 @@
 #include "resp/front.h"
 #include "support/world.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 constexpr int kMostTurns = 1500;  // of 20 ms at most
@@ -353,4 +353,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/clock_test.cpp
+++ b/tests/invoker/clock_test.cpp
@@ -14,7 +14,7 @@
 #include "xds/file_watch.h"
 #include "xds/hosts.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 constexpr double kHourMs = 3600e3;
@@ -148,4 +148,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -19,7 +19,7 @@
 #include "support/temporary_path.h"
 #include "xds/hosts.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 using nlohmann::json;
@@ -104,7 +104,8 @@
   file["settings"]["Balancers"] = 30;
   file["settings"]["LoadInfo"]["How"] = "pull";
   const auto settings = config::read_config(file, "", "").settings;
-  CHECK((settings.probes && settings.routers == 30 && settings.reports == robinfold::ReportMode::probe));
+  CHECK((settings.probes && settings.routers == 30 &&
+         settings.reports == pathstack::policy::ReportMode::probe));
   CHECK_FALSE(settings.peers);
 }
 
@@ -187,7 +188,7 @@
 TEST_CASE("an xDS file written in place twice in a moment is read again; half of it is rejected once") {
   net::Loop loop;
   core::Counters counters;
-  char path[] = "/tmp/lotusyard-xds-XXXXXX";
+  char path[] = "/tmp/pathstack-xds-XXXXXX";
   const net::Socket made(mkstemp(path));
   struct stat first {};
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
@@ -226,7 +227,7 @@
 TEST_CASE("an xDS file is read again when it changes; what was added has just started") {
   net::Loop loop;
   core::Counters counters;
-  char path[] = "/tmp/lotusyard-xds-XXXXXX";
+  char path[] = "/tmp/pathstack-xds-XXXXXX";
   const net::Socket made(mkstemp(path));
   const auto write = [&](const std::string& text) {
     const std::string next = std::string(path) + ".next";
@@ -355,4 +356,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -7,7 +7,7 @@
 #include "support/random.h"
 #include "support/settings.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 // Hosts that only note; a front that only counts. Both check the rules on whatever they are told.
@@ -124,7 +124,7 @@
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
         if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
         b.desk.attempts[attempt].out = false;
-        if (!robinfold::proves_never_ran(outcome)) ++may_have_run[attempt.call];
+        if (!pathstack::policy::proves_never_ran(outcome)) ++may_have_run[attempt.call];
         b.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
       }
       if (below(random, 10) == 0 && !deadline.empty()) {
@@ -219,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -16,7 +16,7 @@
 #include "support/stand_in_log.h"
 #include "support/world.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 constexpr int kMaxTurns = 300;  // of 20 ms at most: 6 s
@@ -339,4 +339,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -9,7 +9,7 @@
 #include "support/settings.h"
 #include "support/stand_in_log.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 TEST_CASE("a change log that breaks off anywhere is taken up again; each event is told once, in order") {
@@ -321,4 +321,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -8,7 +8,7 @@
 #include "net/fields.h"
 #include "support/world.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 using Kind = Reaction::Kind;
@@ -147,7 +147,7 @@
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   world.fleet.exec({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
-  world.tell(robinfold::WorkerState::ready, world.loop.now().count());
+  world.tell(pathstack::policy::WorkerState::ready, world.loop.now().count());
   world.fleet.exec({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 2; }, 2000));
   CHECK(world.counters.value("hosts.no_link") == 0);
@@ -162,7 +162,7 @@
   };
   world.fleet.exec({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
-  const auto tell = [&](const std::string& id, robinfold::WorkerState state) {
+  const auto tell = [&](const std::string& id, pathstack::policy::WorkerState state) {
     core::MemberList change;
     change.members.emplace_back();
     change.members[0].entry.worker = id;
@@ -170,16 +170,16 @@
     change.members[0].address = world.host[0]->server.address();
     world.fleet.members(change);
   };
-  tell("h1", robinfold::WorkerState::ready);
+  tell("h1", pathstack::policy::WorkerState::ready);
   world.fleet.exec({2, 0}, "h1", call_of("000000000000000b"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 1; }, 20000));
   CHECK(world.counters.value("hosts.links_opened") == 2);
   world.fleet.exec({3, 0}, "h0", call_of("000000000000000c"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 2; }, 20000));
   CHECK(world.counters.value("hosts.links_opened") == 3);  // nothing new goes over the one to the former host
-  tell("h0", robinfold::WorkerState::gone);
-  tell("h1", robinfold::WorkerState::gone);
-  tell("h2", robinfold::WorkerState::ready);
+  tell("h0", pathstack::policy::WorkerState::gone);
+  tell("h1", pathstack::policy::WorkerState::gone);
+  tell("h2", pathstack::policy::WorkerState::ready);
   world.fleet.exec({4, 0}, "h2", call_of("000000000000000d"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 3; }, 20000));
   CHECK(world.counters.value("hosts.links_opened") == 4);
@@ -211,4 +211,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/net_test.cpp
+++ b/tests/invoker/net_test.cpp
@@ -8,7 +8,7 @@
 #include "support/random.h"
 #include "support/settings.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 TEST_CASE("what is queued arrives in order, through blocks that are given back to the pool") {
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -9,7 +9,7 @@
 #include "support/random.h"
 #include "support/settings.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 constexpr int kRounds = 300;
@@ -173,4 +173,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/invoker/platform_test.cpp
@@ -8,7 +8,7 @@
 #include "resp/front.h"
 #include "support/world.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 using Kind = Reaction::Kind;
@@ -158,7 +158,7 @@
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x");
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
-  p.world.tell(robinfold::WorkerState::draining);
+  p.world.tell(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-record", "y");
   REQUIRE(p.world.turn_until([&] { return p.world.dispatcher.open() == 2; }, 20000));
   p.world.dispatcher.end_all();
@@ -499,7 +499,7 @@
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  p.world.tell(robinfold::WorkerState::draining);
+  p.world.tell(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-check", "y", 300);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -556,7 +556,7 @@
 TEST_CASE("a call that a host told draining has not read is not sent once the grace is over") {
   const net::Socket listener = net::listen_on("127.0.0.1:0").socket;
   World world(0);
-  const auto tell = [&](robinfold::WorkerState state) {
+  const auto tell = [&](pathstack::policy::WorkerState state) {
     core::MemberList list;
     list.members.emplace_back();
     list.members[0].entry.worker = "h0";
@@ -572,14 +572,14 @@
     call.body = std::string(size, 'x');
     world.fleet.exec({id, 0}, "h0", call, Millis(5000));
   };
-  tell(robinfold::WorkerState::ready);
+  tell(pathstack::policy::WorkerState::ready);
   exec(0xa, 32U << 20);  // more than the kernel takes for a peer that does not read
   exec(0xb, 1);
   REQUIRE(world.turn_until([&] { return world.counters.value("hosts.links_up") == 1; }, 20000));
   const net::Socket peer = net::accept_from(listener).socket;
   REQUIRE(static_cast<bool>(peer));
   world.turn();
-  tell(robinfold::WorkerState::draining);
+  tell(pathstack::policy::WorkerState::draining);
   const Millis told = world.loop.now();
   REQUIRE(world.turn_until([&] { return world.loop.now() - told > World::limits().drain_grace; }, 20000));
   std::string got;
@@ -631,7 +631,7 @@
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
   const auto opened = p.world.counters.value("hosts.links_opened");
-  p.world.tell(robinfold::WorkerState::ready, p.world.loop.now().count() - 20000);
+  p.world.tell(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
@@ -649,4 +649,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -20,7 +20,7 @@
 #include "support/stand_in_host.h"
 #include "support/stand_in_log.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 constexpr Millis kWaitMost{20000};
@@ -30,7 +30,7 @@
  public:
   TemporaryFile() {
     const char* const folder = std::getenv("TMPDIR");
-    path_ = std::string(folder != nullptr ? folder : "/tmp") + "/lotusyard-test-XXXXXX";
+    path_ = std::string(folder != nullptr ? folder : "/tmp") + "/pathstack-test-XXXXXX";
     const int fd = mkstemp(path_.data());
     REQUIRE(fd >= 0);
     close(fd);
@@ -53,7 +53,7 @@
     posix_spawn_file_actions_init(&actions);
     for (const int out : {1, 2}) posix_spawn_file_actions_adddup2(&actions, ends[1], out);
     for (const int end : ends) posix_spawn_file_actions_addclose(&actions, end);
-    std::string binary = LOTUSYARD_BINARY, file = config;
+    std::string binary = PATHSTACK_INVOKER, file = config;
     char* words[] = {binary.data(), file.data(), nullptr};
     REQUIRE(posix_spawn(&pid_, binary.c_str(), &actions, nullptr, words, environ) == 0);
     posix_spawn_file_actions_destroy(&actions);
@@ -371,4 +371,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -15,10 +15,10 @@
 #include "support/random_host.h"
 #include "support/settings.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
-using robinfold::Semantics;
+using pathstack::policy::Semantics;
 using Violations = std::vector<std::string>;
 
 constexpr std::size_t kHosts = 4, kClients = 6, kCalls = 300;
@@ -33,10 +33,10 @@
 
 core::Settings settings_of_all_semantics() {
   core::Settings s = settings();
-  robinfold::ClassSettings keyed = s.classes[0];
+  pathstack::policy::ClassSettings keyed = s.classes[0];
   keyed.name = "bin-keyed";
   keyed.semantics = Semantics::keyed;
-  keyed.scope = robinfold::KeyScope::all;
+  keyed.scope = pathstack::policy::KeyScope::all;
   keyed.key_window = Millis(10000);
   s.classes.push_back(keyed);
   return s;
@@ -342,4 +342,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/call_book.h
+++ b/tests/invoker/support/call_book.h
@@ -13,7 +13,7 @@
 #include "net/loop.h"
 #include "resp/parser.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 using core::Millis;
 
@@ -57,7 +57,7 @@
 
 struct CallRecord {
   std::string ref;
-  robinfold::Semantics semantics = robinfold::Semantics::once;
+  pathstack::policy::Semantics semantics = pathstack::policy::Semantics::once;
   Millis allow{0};
   Moment sent;
   std::optional<Moment> withdrawn;  // cancelled, or its client closed the connection
@@ -72,4 +72,4 @@
   std::vector<std::string> strays;          // answers and execs that belong to no call
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/call_client.h
+++ b/tests/invoker/support/call_client.h
@@ -13,7 +13,7 @@
 #include "resp/parser.h"
 #include "support/call_book.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 class CallClient final : public net::Stream {
  public:
@@ -32,7 +32,7 @@
     const std::string fields =
         "ref=" + record.ref + ",allow=" + std::to_string(static_cast<int>(record.allow.count())) +
         ",lookup=00000000000000a1,spec=memory_mb:300;lanes:4" +
-        (record.semantics == robinfold::Semantics::keyed ? ",replay=k" + record.ref : "");
+        (record.semantics == pathstack::policy::Semantics::keyed ? ",replay=k" + record.ref : "");
     say({"CALL", tag, class_name, fields, body});
     record.sent = now_();
     refs_[tag] = record.ref;
@@ -98,4 +98,4 @@
   }
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/faulty_calls.h
+++ b/tests/invoker/support/faulty_calls.h
@@ -14,7 +14,7 @@
 #include "net/system_calls.h"
 #include "support/random.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 /// Fails calls of the invoker's as Linux documents it, from a seed, and passes all others to the kernel. The
 /// invoker's are told from those of the stand-ins in its process by their descriptors: connections that were
@@ -143,4 +143,4 @@
   }
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/random.h
+++ b/tests/invoker/support/random.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 using Random = std::mt19937_64;
 
@@ -34,4 +34,4 @@
   return out;
 }
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/random_host.h
+++ b/tests/invoker/support/random_host.h
@@ -15,7 +15,7 @@
 #include "support/random.h"
 #include "support/server.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 class RandomHost {
  public:
@@ -128,4 +128,4 @@
   Random random_;
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/scripted_calls.h
+++ b/tests/invoker/support/scripted_calls.h
@@ -6,7 +6,7 @@
 
 #include "net/system_calls.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 /// Passes all calls to the kernel but those that the members say. Errors of `receive` and `send` apply to
 /// descriptors that went through `connect`; what stand-in servers accept is never touched.
@@ -56,4 +56,4 @@
   }
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/server.h
+++ b/tests/invoker/support/server.h
@@ -11,7 +11,7 @@
 #include "net/socket.h"
 #include "net/stream.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 // Accepts connections and keeps them until they end.
 template <typename Peer, typename Owner>
@@ -55,4 +55,4 @@
   std::string address_;
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/settings.h
+++ b/tests/invoker/support/settings.h
@@ -3,7 +3,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 using core::Millis;
 
@@ -11,7 +11,7 @@
   core::Settings s;
   s.classes.resize(2);
   s.classes[0].name = "bin-check";
-  s.classes[0].semantics = robinfold::Semantics::repeatable;
+  s.classes[0].semantics = pathstack::policy::Semantics::repeatable;
   s.classes[1].name = "bin-record";
   for (auto& c : s.classes) c.aim = c.deadline = Millis(1500);
   s.tick = Millis(4);
@@ -28,4 +28,4 @@
   return s;
 }
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/stand_in_broker.h
+++ b/tests/invoker/support/stand_in_broker.h
@@ -13,7 +13,7 @@
 #include "support/random.h"
 #include "support/server.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 // A broker for one queue of calls. It hands out what stands there, takes answers, and misbehaves as told.
 class StandInBroker {
@@ -221,4 +221,4 @@
   return std::get<std::string>(answer.properties.headers.at("word"));
 }
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/stand_in_host.h
+++ b/tests/invoker/support/stand_in_host.h
@@ -10,7 +10,7 @@
 #include "hosts/line_parser.h"
 #include "support/server.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 // What a stand-in host does with one exec. `stall`: half an answer, and then nothing more on that connection.
 struct Reaction {
@@ -80,4 +80,4 @@
   }
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/stand_in_log.h
+++ b/tests/invoker/support/stand_in_log.h
@@ -11,7 +11,7 @@
 #include "support/random.h"
 #include "support/server.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 // Answers `since N` with the later events, cut anywhere; breaks off after a random part, or stops there and
 // stays open.
@@ -57,4 +57,4 @@
   std::vector<std::string> replies;  // to each `since` in turn, in front of the events
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/temporary_path.h
+++ b/tests/invoker/support/temporary_path.h
@@ -9,14 +9,14 @@
 #include <fstream>
 #include <string>
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 /// A folder of its own with one file in it. Both go with the owner.
 class TemporaryPath {
  public:
   TemporaryPath() {
     const char* const root = std::getenv("TMPDIR");
-    folder_ = std::string(root != nullptr ? root : "/tmp") + "/lotusyard-test-XXXXXX";
+    folder_ = std::string(root != nullptr ? root : "/tmp") + "/pathstack-test-XXXXXX";
     REQUIRE(mkdtemp(folder_.data()) != nullptr);
   }
   ~TemporaryPath() {
@@ -42,4 +42,4 @@
   std::string folder_;
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/support/world.h
+++ b/tests/invoker/support/world.h
@@ -12,7 +12,7 @@
 #include "support/settings.h"
 #include "support/stand_in_host.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 // The parts of an invoker behind its fronts, and hosts for it.
 class World {
@@ -25,10 +25,10 @@
             s, [this] { return loop.now(); }, fleet, counters) {
     fleet.attach(dispatcher);
     for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
-    tell(robinfold::WorkerState::ready);
+    tell(pathstack::policy::WorkerState::ready);
   }
   // The whole list anew; the given state is that of all hosts, or of one.
-  void tell(robinfold::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
+  void tell(pathstack::policy::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
     states.resize(host.size());
     core::MemberList list{true, {}};
     core::HostList entries{core::ListKind::full, {}};
@@ -59,7 +59,7 @@
     return l;
   }
   struct Told {
-    robinfold::WorkerState state = robinfold::WorkerState::gone;
+    pathstack::policy::WorkerState state = pathstack::policy::WorkerState::gone;
     Millis started{0}, at{0};
   };
   net::Loop loop;
@@ -71,4 +71,4 @@
   core::Dispatcher dispatcher;
 };
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/triggers.h
+++ b/tests/invoker/triggers.h
@@ -6,7 +6,7 @@
 #include "support/stand_in_broker.h"
 #include "support/world.h"
 
-namespace lotusyard::test {
+namespace pathstack::test {
 
 class Triggers {
  public:
@@ -62,7 +62,7 @@
   for (std::size_t i = 0; i < t.world.host.size(); ++i) {
     t.world.host[i]->react = [&, i](const std::string&) {
       const auto& told = t.world.states[i];
-      const bool drained = told.state != robinfold::WorkerState::ready;
+      const bool drained = told.state != pathstack::policy::WorkerState::ready;
       if (drained && t.world.loop.now() - told.at > s.drain_grace) ++tally.after_drain;
       const std::size_t dice = below(random, 1000);
       if (dice < 10) return Reaction{Reaction::silence, ""};
@@ -97,8 +97,8 @@
     // One host drains at a time, and comes back reborn when the next one goes.
     next_drain += 100;
     const std::size_t back = tally.drains++ % t.world.host.size();
-    t.world.tell(robinfold::WorkerState::ready, t.world.loop.now().count(), back);
-    t.world.tell(robinfold::WorkerState::draining, 0, tally.drains % t.world.host.size());
+    t.world.tell(pathstack::policy::WorkerState::ready, t.world.loop.now().count(), back);
+    t.world.tell(pathstack::policy::WorkerState::draining, 0, tally.drains % t.world.host.size());
   }
   tally.settled = t.settled();
   for (std::size_t i = 0; i < tally.sent; ++i) {
@@ -118,4 +118,4 @@
   return tally;
 }
 
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/lotusyard/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <sstream>
 
-namespace lotusyard::test {
+namespace pathstack::test {
 namespace {
 
 using Kind = Reaction::Kind;
@@ -224,9 +224,9 @@
   }
 }
 
-// The long run, by name only: lotusyard_tests "[soak]", for LOTUSYARD_SOAK_S seconds (600 unless told).
+// The long run, by name only: pathstack_tests "[soak]", for PATHSTACK_SOAK_S seconds (600 unless told).
 TEST_CASE("the same for ten minutes", "[.soak]") {
-  const char* const told = std::getenv("LOTUSYARD_SOAK_S");
+  const char* const told = std::getenv("PATHSTACK_SOAK_S");
   const double seconds = told == nullptr ? 600 : std::atof(told);
   const Tally tally = chaos_run(5, SIZE_MAX, Millis(seconds * 1000));
   tally.print(std::cout);
@@ -234,4 +234,4 @@
 }
 
 }  // namespace
-}  // namespace lotusyard::test
+}  // namespace pathstack::test
--- a/tests/policy_clock_test.cpp
+++ b/tests/policy_clock_test.cpp
@@ -1,9 +1,9 @@
 // Warm-up of workers when the wall clock that stamps their starts is stepped.
 #include <gtest/gtest.h>
 
-#include "rig.h"
+#include "policy_harness.h"
 
-namespace robinfold::test {
+namespace pathstack::policy::test {
 namespace {
 
 constexpr double kPhase = 4000;  // a quarter of the warm-up, in milliseconds
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace pathstack::policy::test
--- a/tests/rig.h
+++ b/tests/policy_harness.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "pathstack/policy.h"
 
-namespace robinfold::test {
+namespace pathstack::policy::test {
 
 inline Settings settings() {
   Settings s;
@@ -141,4 +141,4 @@
   std::multimap<double, std::uint64_t> timers;
 };
 
-}  // namespace robinfold::test
+}  // namespace pathstack::policy::test
--- a/tests/policy_local_fault_test.cpp
+++ b/tests/policy_local_fault_test.cpp
@@ -1,9 +1,9 @@
 // Outcomes that tell of this machine or of the network, and not of the worker: not_sent and unreachable.
 #include <gtest/gtest.h>
 
-#include "rig.h"
+#include "policy_harness.h"
 
-namespace robinfold::test {
+namespace pathstack::policy::test {
 namespace {
 
 /// Workers load what they lack by themselves, so that every request is sent somewhere at once.
@@ -261,4 +261,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace pathstack::policy::test
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 #include <random>
 
-#include "rig.h"
+#include "policy_harness.h"
 
-namespace robinfold::test {
+namespace pathstack::policy::test {
 namespace {
 
 std::string id(const char* stem, int n) { return stem + std::to_string(n); }
@@ -909,4 +909,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace pathstack::policy::test
--- a/tests/replay/day_plan.cpp
+++ b/tests/replay/day_plan.cpp
@@ -1,6 +1,6 @@
 #include "day_plan.h"
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 namespace {
 
 using nlohmann::json;
@@ -248,4 +248,4 @@
           many_functions_day()};
 }
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/day_plan.h
+++ b/tests/replay/day_plan.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 
 /// Shares are per thousand, times in milliseconds unless said otherwise.
 struct DayPlan {
@@ -42,4 +42,4 @@
 /// All days, in the order in which they are played.
 std::vector<DayPlan> day_plans();
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/fleet_simulation.cpp
+++ b/tests/replay/fleet_simulation.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 namespace {
 
 constexpr std::int64_t millisecond = 1000;
@@ -499,4 +499,4 @@
   return row;
 }
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/fleet_simulation.h
+++ b/tests/replay/fleet_simulation.h
@@ -18,7 +18,7 @@
 #include "summary.h"
 #include "wire.h"
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 
 class FleetSimulation {
  public:
@@ -71,7 +71,7 @@
 
   DayPlan plan_;
   Random random_;
-  simhost::Host host_;
+  simulator_adapter::Host host_;
   Micros now_ = 0;
   int round_ = 0, next_request_ = 0, next_worker_ = 0, next_page_ = 0, list_generation_ = 0;
   std::vector<Worker> workers_;
@@ -123,4 +123,4 @@
   Json report(const Worker& worker, bool for_probe);
 };
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/gzip_lines.cpp
+++ b/tests/replay/gzip_lines.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <stdexcept>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 namespace {
 
 constexpr std::size_t chunk_bytes = 65536;
@@ -39,4 +39,4 @@
   return lines;
 }
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/gzip_lines.h
+++ b/tests/replay/gzip_lines.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 
 /// All lines of the file, without their line feeds. Throws std::runtime_error if it can't be read whole.
 std::vector<std::string> read_gzip_lines(const std::string& path);
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/random.h
+++ b/tests/replay/random.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <random>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 
 class Random {
  public:
@@ -21,4 +21,4 @@
   std::mt19937_64 engine_;
 };
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -23,7 +23,7 @@
 #include "fleet_simulation.h"
 #include "gzip_lines.h"
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 namespace {
 
 const std::string source_folder = REPLAY_SOURCE_FOLDER;
@@ -80,7 +80,7 @@
   const std::string record_folder = folder_of_variable("REPLAY_RECORD");
   std::ofstream recorded;
   if (!record_folder.empty()) recorded.open(record_folder + "/" + GetParam() + ".replies");
-  simhost::Host host;
+  simulator_adapter::Host host;
   int different = 0;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
     const std::string reply = host.reply(rounds[i]);
@@ -95,4 +95,4 @@
                          [](const auto& day) { return day.param; });
 
 }  // namespace
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/replay/summary.h
+++ b/tests/replay/summary.h
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-namespace robinfold::replay {
+namespace pathstack::policy::replay {
 
 /// FNV-1a of 64 bits over all lines added, each ended by a line feed.
 class Digest {
@@ -55,4 +55,4 @@
   std::map<std::string, int> actions_;
 };
 
-}  // namespace robinfold::replay
+}  // namespace pathstack::policy::replay
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-namespace robinfold::simhost {
+namespace pathstack::policy::simulator_adapter {
 namespace {
 
 const char* const kInit =
@@ -74,4 +74,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::simhost
+}  // namespace pathstack::policy::simulator_adapter
