--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -21,14 +21,14 @@
 Channel::Channel(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
                  Consumer& consumer, net::Socket socket)
     : Stream(loop, pool, std::move(socket), true), counters_(counters), broker_(broker), consumer_(consumer) {
-  setup_ = loop.at(loop.now() + kSetupMost, [this] { lost("amqp.setup_late"); });
+  setup_ = loop.at(loop.now() + kSetupMost, [this] { lost(core::Counter::amqp_setup_late); });
 }
 
 Channel::~Channel() {
   for (const auto& timer : {beat_, quiet_, setup_}) loop().cancel(timer);
 }
 
-bool Channel::lost(const char* why) {
+bool Channel::lost(core::Counter why) {
   counters_.add(why);
   end_later();
   return false;
@@ -54,25 +54,25 @@
   for (auto& one : frames) {
     if (!take(std::move(one))) return;
   }
-  if (!sound) lost("amqp.malformed");
+  if (!sound) lost(core::Counter::amqp_malformed);
 }
 
 // False if the connection ends: what follows in the same bytes is not looked at any more.
 bool Channel::take(Frame&& one) {
   if (one.type == FrameType::heartbeat) return true;
-  if (one.channel != 0 && one.channel != kChannel) return lost("amqp.unknown_channel");
+  if (one.channel != 0 && one.channel != kChannel) return lost(core::Counter::amqp_unknown_channel);
   if (one.type != FrameType::method) return content(std::move(one));
-  if (content_ != Content::none) return lost("amqp.content_broken_off");
+  if (content_ != Content::none) return lost(core::Counter::amqp_content_broken_off);
   Reader in(one.payload);
   const std::uint32_t cls = in.u16();
   const std::uint32_t id = method::id(cls, in.u16());
   if (!method(in, id)) return false;
-  return in.ok() ? true : lost("amqp.malformed");
+  return in.ok() ? true : lost(core::Counter::amqp_malformed);
 }
 
 bool Channel::method(Reader& in, std::uint32_t id) {
   const auto step = [&](State from, State to) {
-    if (state_ != from) return lost("amqp.out_of_order");
+    if (state_ != from) return lost(core::Counter::amqp_out_of_order);
     state_ = to;
     return true;
   };
@@ -82,7 +82,7 @@
       in.u16();  // the version: 0-9 of any revision
       in.table();
       const std::string mechanisms = in.long_text();
-      if (mechanisms.find("PLAIN") == std::string::npos) return lost("amqp.no_plain_login");
+      if (mechanisms.find("PLAIN") == std::string::npos) return lost(core::Counter::amqp_no_plain_login);
       using namespace std::string_literals;
       say(method::connection_start_ok, 0,
           Writer()
@@ -98,7 +98,7 @@
       const std::uint32_t most = in.u32();
       const std::uint16_t theirs = in.u16();
       frame_most_ = most == 0 ? kFrameMost : std::min(most, kFrameMost);
-      if (frame_most_ < 4096) return lost("amqp.frames_too_small");  // the specification's least
+      if (frame_most_ < 4096) return lost(core::Counter::amqp_frames_too_small);  // the specification's least
       parser_.limit(frame_most_ - FrameParser::overhead);
       const std::uint16_t mine = broker_.heartbeat_s;
       const std::uint16_t seconds =
@@ -134,7 +134,8 @@
       }
       return true;
     case method::basic_cancel_ok: return true;
-    case method::basic_cancel: return lost("amqp.consumer_cancelled");  // the queue is gone: begin anew
+    case method::basic_cancel:
+      return lost(core::Counter::amqp_consumer_cancelled);  // the queue is gone: begin anew
     case method::basic_deliver:
       in.short_text();
       delivery_ = Delivery();
@@ -144,7 +145,8 @@
       header_seen_ = false;
       return true;
     case method::basic_return:
-      counters_.add("amqp.answers_returned");  // nobody holds the reply queue any more; a confirm follows
+      counters_.add(
+          core::Counter::amqp_answers_returned);  // nobody holds the reply queue any more; a confirm follows
       delivery_ = Delivery();
       content_ = Content::returned;
       header_seen_ = false;
@@ -165,13 +167,13 @@
     case method::channel_close:
       say(method::channel_close_ok, kChannel, Writer());
       flush_now();
-      return lost("amqp.channel_closed");
+      return lost(core::Counter::amqp_channel_closed);
     case method::connection_close:
       say(method::connection_close_ok, 0, Writer());
       flush_now();
-      return lost("amqp.connection_closed");
+      return lost(core::Counter::amqp_connection_closed);
     case method::connection_close_ok: end_later(); return false;
-    default: return lost("amqp.unknown_method");
+    default: return lost(core::Counter::amqp_unknown_method);
   }
 }
 
@@ -183,16 +185,16 @@
 }
 
 bool Channel::content(Frame&& one) {
-  if (content_ == Content::none) return lost("amqp.stray_content");
+  if (content_ == Content::none) return lost(core::Counter::amqp_stray_content);
   if (one.type == FrameType::header) {
     auto read = header_seen_ ? std::nullopt : read_content_header(one.payload);
-    if (!read) return lost("amqp.malformed");
+    if (!read) return lost(core::Counter::amqp_malformed);
     header_seen_ = true;
     body_left_ = read->first;
     delivery_.properties = std::move(read->second);
     delivery_.oversized = body_left_ > broker_.longest_body;
   } else {
-    if (!header_seen_ || one.payload.size() > body_left_) return lost("amqp.malformed");
+    if (!header_seen_ || one.payload.size() > body_left_) return lost(core::Counter::amqp_malformed);
     body_left_ -= one.payload.size();
     if (!delivery_.oversized) delivery_.body += one.payload;
   }
@@ -203,7 +205,7 @@
 void Channel::content_done() {
   const Content kind = std::exchange(content_, Content::none);
   if (kind != Content::delivery) return;
-  counters_.add("amqp.deliveries");
+  counters_.add(core::Counter::amqp_deliveries);
   consumer_.delivered(std::move(delivery_));
 }
 
@@ -216,17 +218,17 @@
   for (std::size_t at = 0; at < body.size(); at += part) {
     write(frame(FrameType::body, kChannel, body.substr(at, part)));
   }
-  counters_.add("amqp.published");
+  counters_.add(core::Counter::amqp_published);
   return ++published_;
 }
 
 void Channel::ack(std::uint64_t tag) {
-  counters_.add("amqp.acked");
+  counters_.add(core::Counter::amqp_acked);
   say(method::basic_ack, kChannel, Writer().u64(tag).u8(0));
 }
 
 void Channel::reject(std::uint64_t tag) {
-  counters_.add("amqp.rejected");
+  counters_.add(core::Counter::amqp_rejected);
   say(method::basic_reject, kChannel, Writer().u64(tag).u8(0));
 }
 
@@ -251,7 +253,7 @@
 void Channel::watch_quiet() {
   loop().cancel(quiet_);
   if (interval_.count() <= 0) return;
-  quiet_ = loop().at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
+  quiet_ = loop().at(loop().now() + interval_ * 2, [this] { lost(core::Counter::amqp_quiet); });
 }
 
 }  // namespace pathstack::amqp
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -79,7 +79,7 @@
   void consume_all();
   void beat();
   void watch_quiet();
-  bool lost(const char* why);
+  bool lost(core::Counter why);
 };
 
 }  // namespace pathstack::amqp
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -64,7 +64,7 @@
 }
 
 void Front::channel_up() {
-  counters_.add("amqp.up");
+  counters_.add(core::Counter::amqp_up);
   pause_ = Millis(0);
   if (draining_) channel_->stop_consuming();
   resend();
@@ -73,7 +73,7 @@
 // Deliveries that are not acknowledged come again, here or elsewhere; the tags of this channel mean nothing
 // now.
 void Front::channel_down() {
-  counters_.add("amqp.down");
+  counters_.add(core::Counter::amqp_down);
   unconfirmed_.clear();
   unsent_.clear();
   memory_.forget_waiters();
@@ -132,14 +132,14 @@
   const Properties& p = delivery.properties;
   const std::uint64_t tag = delivery.tag;
   if (p.reply_to.empty() || (p.correlation_id.empty() && p.message_id.empty())) {
-    counters_.add("amqp.unanswerable");
+    counters_.add(core::Counter::amqp_unanswerable);
     return channel_->reject(tag);
   }
   const Address address{p.reply_to, p.correlation_id.empty() ? p.message_id : p.correlation_id};
   const std::string id = id_of(p);
   if (Remembered* known = memory_.find(id)) {
     if (!known->answer) {
-      counters_.add("amqp.joined");
+      counters_.add(core::Counter::amqp_joined);
       known->waiters.push_back({tag, address});
       return;
     }
@@ -147,24 +147,24 @@
     const bool harmless = known->answer->verdict == Verdict::refused ||
                           (known->answer->verdict == Verdict::failed && !known->once);
     if (delivery.redelivered || !harmless) {
-      counters_.add("amqp.remembered");
+      counters_.add(core::Counter::amqp_remembered);
       return answer_delivery(id, tag, address, delivery.redelivered);
     }
   }
   core::Call call;
   if (!read_call(delivery, call)) {
-    refuse_call(id, false, Verdict::failed, "amqp.bad_call");
+    refuse_call(id, false, Verdict::failed, core::Counter::amqp_bad_call);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   const auto* cls = class_named(settings_, call.class_name);
   const bool once = cls->semantics == pathstack::policy::Semantics::once;
   // Danger: another process, or this one before a restart or in a time now forgotten, may have run it.
   if (once && delivery.redelivered) {
-    refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
+    refuse_call(id, once, Verdict::failed, core::Counter::amqp_may_have_run);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   if (running_.size() >= limits_.open_calls) {
-    refuse_call(id, once, Verdict::refused, "amqp.too_many_open");
+    refuse_call(id, once, Verdict::refused, core::Counter::amqp_too_many_open);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   // The hosts want 16 hex digits that no open call has; ids of messages may be anything.
@@ -177,7 +177,7 @@
   answer(number, core::Answer());
 }
 
-void Front::refuse_call(const std::string& id, bool once, Verdict verdict, const char* why) {
+void Front::refuse_call(const std::string& id, bool once, Verdict verdict, core::Counter why) {
   counters_.add(why);
   memory_.begin(id, once);
   memory_.end(id, {verdict, Millis(0), {}});
@@ -193,7 +193,7 @@
   const auto waiters = std::move(known->waiters);
   known->waiters.clear();
   memory_.end(id, std::move(answer));
-  if (waiters.empty()) counters_.add("amqp.answers_kept");  // until its delivery comes again
+  if (waiters.empty()) counters_.add(core::Counter::amqp_answers_kept);  // until its delivery comes again
   for (const auto& waiter : waiters) answer_delivery(id, waiter.tag, waiter.address, true);
 }
 
@@ -248,7 +248,7 @@
   unconfirmed_.erase(first, last);
   for (auto& publishing : ended) {
     if (!taken) {
-      counters_.add("amqp.nacked");
+      counters_.add(core::Counter::amqp_nacked);
       unsent_.push_back(std::move(publishing));
       loop_.cancel(resend_);
       resend_ = loop_.at(loop_.now() + kResendAfter, [this] { resend(); });
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -61,7 +61,7 @@
   void delivered(Delivery&& delivery) override;
   void confirmed(std::uint64_t number, bool multiple, bool taken) override;
   bool read_call(const Delivery& delivery, core::Call& out) const;
-  void refuse_call(const std::string& id, bool once, core::Verdict verdict, const char* why);
+  void refuse_call(const std::string& id, bool once, core::Verdict verdict, core::Counter why);
   void answer_delivery(const std::string& id, std::uint64_t tag, const Address& address, bool redelivered);
   void publish(Publishing&& publishing);
   void resend();
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -115,7 +115,7 @@
     if (read == feed::Log::Read::news) {
       update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
     } else if (read != feed::Log::Read::nothing) {
-      counters_.add("feed.known_unread");
+      counters_.add(core::Counter::feed_known_unread);
       errors_.write_line("pathstack-invoker: known: an event cannot be read; asking the change log from " +
                          std::to_string(log.last()));
       return log;  // the change log tells the rest again
@@ -194,12 +194,12 @@
     throw config::ConfigError("configuration: xds.file: " + fault);
   }
   if (feed_) feed_->move(next.changelog);
-  counters_.add("config.reread");
+  counters_.add(core::Counter::config_reread);
 }
 
 // The old configuration goes on.
 void Invoker::on_reload_fault(const std::string& fault, bool last) {
-  counters_.add("config.faulty");
+  counters_.add(core::Counter::config_faulty);
   errors_.write_line("pathstack-invoker: " + fault + (last ? "; not read again before the next SIGHUP" : ""));
 }
 
--- /dev/null
+++ b/src/core/counter.cpp
@@ -0,0 +1,192 @@
+#include "core/counter.h"
+
+#include <array>
+
+namespace pathstack::core {
+namespace {
+
+constexpr std::array<CounterInfo, kCounters> kInfo = {{
+    {Counter::amqp_acked, "amqp.acked", "deliveries",
+     "acknowledged to the broker after their answer was confirmed"},
+    {Counter::amqp_answers_kept, "amqp.answers_kept", "answers",
+     "kept until their delivery comes again, as its channel had ended"},
+    {Counter::amqp_answers_returned, "amqp.answers_returned", "answers",
+     "returned by the broker: nobody holds the reply queue any more"},
+    {Counter::amqp_bad_call, "amqp.bad_call", "deliveries",
+     "rejected as their headers or body cannot be used as a call"},
+    {Counter::amqp_channel_closed, "amqp.channel_closed", "channels", "closed by the broker with an error"},
+    {Counter::amqp_connection_closed, "amqp.connection_closed", "connections",
+     "closed by the broker with an error"},
+    {Counter::amqp_consumer_cancelled, "amqp.consumer_cancelled", "channels",
+     "ended as the broker cancelled a consumer"},
+    {Counter::amqp_content_broken_off, "amqp.content_broken_off", "connections",
+     "ended over a message whose content broke off"},
+    {Counter::amqp_deliveries, "amqp.deliveries", "deliveries", "received whole from the broker"},
+    {Counter::amqp_down, "amqp.down", "connections", "to the broker that ended or never came up"},
+    {Counter::amqp_frames_too_small, "amqp.frames_too_small", "connections",
+     "ended as the broker allows only frames below the specification's minimum"},
+    {Counter::amqp_joined, "amqp.joined", "deliveries", "repeats of an open call, answered together with it"},
+    {Counter::amqp_malformed, "amqp.malformed", "connections", "ended over bytes that are not AMQP"},
+    {Counter::amqp_may_have_run, "amqp.may_have_run", "deliveries",
+     "of a class that may run once only, redelivered and failed, as they may have run"},
+    {Counter::amqp_nacked, "amqp.nacked", "answers", "whose publishing the broker did not confirm"},
+    {Counter::amqp_no_plain_login, "amqp.no_plain_login", "connections",
+     "ended as the broker does not offer the PLAIN login"},
+    {Counter::amqp_out_of_order, "amqp.out_of_order", "connections",
+     "ended over a method that does not fit their state"},
+    {Counter::amqp_published, "amqp.published", "answers", "published to a reply queue"},
+    {Counter::amqp_quiet, "amqp.quiet", "connections", "ended as the broker missed its heartbeats"},
+    {Counter::amqp_rejected, "amqp.rejected", "deliveries", "rejected without requeueing"},
+    {Counter::amqp_remembered, "amqp.remembered", "deliveries", "answered from the memory of recent answers"},
+    {Counter::amqp_setup_late, "amqp.setup_late", "connections", "ended as they were not set up in time"},
+    {Counter::amqp_stray_content, "amqp.stray_content", "connections",
+     "ended over content that belongs to no message"},
+    {Counter::amqp_too_many_open, "amqp.too_many_open", "deliveries", "refused as too many calls were open"},
+    {Counter::amqp_unanswerable, "amqp.unanswerable", "deliveries",
+     "without a reply queue or correlation id"},
+    {Counter::amqp_unknown_channel, "amqp.unknown_channel", "connections",
+     "ended over a frame of a channel that is not open"},
+    {Counter::amqp_unknown_method, "amqp.unknown_method", "connections",
+     "ended over a method that is not known"},
+    {Counter::amqp_up, "amqp.up", "connections", "to the broker that were set up"},
+    {Counter::attempts_cancelled, "attempts.cancelled", "attempts", "ended early by the decision module"},
+    {Counter::attempts_sent, "attempts.sent", "attempts", "given to connections to hosts"},
+    {Counter::attempts_timed_out, "attempts.timed_out", "attempts", "without an answer within their time"},
+    {Counter::calls_bad_figures, "calls.bad_figures", "calls", "failed as a figure is out of its range"},
+    {Counter::calls_ended_unserved, "calls.ended_unserved", "calls",
+     "open when the program ended; the log line `ends:` has how many were at SIGTERM"},
+    {Counter::calls_failed, "calls.failed", "calls", "answered as failed"},
+    {Counter::calls_left, "calls.left", "calls", "whose client cancelled or disconnected"},
+    {Counter::calls_overdue, "calls.overdue", "calls",
+     "past their deadline that the decision module had not ended"},
+    {Counter::calls_ref_repeated, "calls.ref_repeated", "calls",
+     "failed as another call had the same reference"},
+    {Counter::calls_refused, "calls.refused", "calls", "answered as refused: a retry is harmless"},
+    {Counter::calls_served, "calls.served", "calls", "answered with a host's body"},
+    {Counter::calls_taken, "calls.taken", "calls", "admitted from clients and the broker"},
+    {Counter::calls_unknown_class, "calls.unknown_class", "calls",
+     "failed as the settings have no such class"},
+    {Counter::calls_unknown_tenant, "calls.unknown_tenant", "calls",
+     "failed as the settings have no such tenant"},
+    {Counter::config_faulty, "config.faulty", "files",
+     "rejected at SIGHUP; the configuration before stays in force"},
+    {Counter::config_reread, "config.reread", "files", "taken at SIGHUP"},
+    {Counter::feed_connect_late, "feed.connect_late", "connections",
+     "to the change log that did not come up in time"},
+    {Counter::feed_connections, "feed.connections", "connections", "to the change log that came up"},
+    {Counter::feed_events, "feed.events", "events", "of the change log that were applied"},
+    {Counter::feed_known_unread, "feed.known_unread", "starts",
+     "at which an event of `known` could not be read; the change log was asked for it"},
+    {Counter::feed_line_late, "feed.line_late", "connections",
+     "to the change log on which an event was not complete in time"},
+    {Counter::feed_malformed_or_gap, "feed.malformed_or_gap", "connections",
+     "ended to ask the change log again from the last whole event"},
+    {Counter::feed_moves, "feed.moves", "moves", "to another change log at SIGHUP"},
+    {Counter::feed_quiet, "feed.quiet", "connections", "to the change log that were silent for too long"},
+    {Counter::guard_host_not_ready, "guard.host_not_ready", "messages",
+     "not sent, as the last list does not call the host ready"},
+    {Counter::guard_load_stopped, "guard.load_stopped", "orders",
+     "to load that were not written, as the load budget was spent by then"},
+    {Counter::guard_send_stopped, "guard.send_stopped", "attempts",
+     "of the decision module that would break a rule"},
+    {Counter::hosts_answers_absent, "hosts.answers.absent", "answers",
+     "of hosts: no instance of the function"},
+    {Counter::hosts_answers_data, "hosts.answers.data", "answers", "of hosts: served"},
+    {Counter::hosts_answers_failed, "hosts.answers.failed", "answers", "of hosts: failed"},
+    {Counter::hosts_answers_full, "hosts.answers.full", "answers", "of hosts: no capacity"},
+    {Counter::hosts_answers_moot, "hosts.answers.moot", "answers", "of hosts: the request was over already"},
+    {Counter::hosts_connect_failed, "hosts.connect_failed", "connections", "to hosts that failed at once"},
+    {Counter::hosts_connect_local_faults, "hosts.connect_local_faults", "connections",
+     "to hosts that a fault of this machine kept from being begun"},
+    {Counter::hosts_connect_timeouts, "hosts.connect_timeouts", "connections",
+     "to hosts that did not come up in time"},
+    {Counter::hosts_cut_answers, "hosts.cut_answers", "connections", "ended over an answer that broke off"},
+    {Counter::hosts_health_checks, "hosts.health_checks", "probes", "of connections; each is paid for"},
+    {Counter::hosts_idle_ended, "hosts.idle_ended", "connections",
+     "idle, ended to make room for another one"},
+    {Counter::hosts_late_answers, "hosts.late_answers", "answers", "to attempts that had been dropped"},
+    {Counter::hosts_links_ended, "hosts.links_ended", "connections", "to hosts that ended"},
+    {Counter::hosts_links_opened, "hosts.links_opened", "connections", "to hosts that were begun"},
+    {Counter::hosts_links_refused, "hosts.links_refused", "connections", "to hosts that never came up"},
+    {Counter::hosts_links_up, "hosts.links_up", "connections", "to hosts that came up"},
+    {Counter::hosts_malformed, "hosts.malformed", "connections", "ended over an answer that cannot be read"},
+    {Counter::hosts_no_link, "hosts.no_link", "messages",
+     "for which no connection was to be had: as many are up to the host, or in all, as may be"},
+    {Counter::hosts_probes, "hosts.probes", "probes", "of hosts for the decision module; each is paid for"},
+    {Counter::hosts_silent_links, "hosts.silent_links", "connections",
+     "ended as a health check had no answer"},
+    {Counter::hosts_stalled_links, "hosts.stalled_links", "connections",
+     "ended as the host did not take in an attempt in time"},
+    {Counter::hosts_surplus_answers, "hosts.surplus_answers", "answers",
+     "to nothing that was sent, or a second time"},
+    {Counter::hosts_unread_closed, "hosts.unread_closed", "connections",
+     "to hosts that read so little that their buffers were needed for others"},
+    {Counter::log_lines_dropped, "log.lines_dropped", "lines", "of this log that nobody read in time"},
+    {Counter::orders_sent, "orders.sent", "orders", "to load given to connections to hosts"},
+    {Counter::resp_accept_failed, "resp.accept_failed", "connections",
+     "that failed before they were accepted"},
+    {Counter::resp_bad_call, "resp.bad_call", "calls", "with a wrong number of words"},
+    {Counter::resp_bad_fields, "resp.bad_fields", "calls", "with a field that is missing or cannot be read"},
+    {Counter::resp_cancels, "resp.cancels", "cancels", "received from clients"},
+    {Counter::resp_connections, "resp.connections", "connections", "accepted from clients"},
+    {Counter::resp_faults_closed, "resp.faults_closed", "connections",
+     "closed after too many rejected calls"},
+    {Counter::resp_half_request, "resp.half_request", "connections",
+     "on which a request was not complete in time"},
+    {Counter::resp_idle_closed, "resp.idle_closed", "connections",
+     "idle, closed to make room for another client"},
+    {Counter::resp_linger_cut, "resp.linger_cut", "connections",
+     "closed before their client did, as too many waited for that"},
+    {Counter::resp_malformed, "resp.malformed", "connections", "closed over bytes that are not RESP"},
+    {Counter::resp_no_descriptor, "resp.no_descriptor", "times",
+     "that accepting paused for want of a descriptor or kernel memory"},
+    {Counter::resp_no_memory, "resp.no_memory", "calls",
+     "refused as the bodies of open calls use all their memory"},
+    {Counter::resp_no_place, "resp.no_place", "connections", "refused as all places for clients were busy"},
+    {Counter::resp_no_request, "resp.no_request", "connections",
+     "on which the first request was not complete in time"},
+    {Counter::resp_no_tag, "resp.no_tag", "connections", "closed over a command without a tag"},
+    {Counter::resp_not_taken, "resp.not_taken", "calls", "that no host could use"},
+    {Counter::resp_silent_closed, "resp.silent_closed", "connections",
+     "closed before their first request, as too many had none yet"},
+    {Counter::resp_tag_repeated, "resp.tag_repeated", "connections",
+     "closed over a call with the tag of an open call"},
+    {Counter::resp_taken_back, "resp.taken_back", "calls", "cancelled in the bytes they came in"},
+    {Counter::resp_too_many_open, "resp.too_many_open", "calls",
+     "refused as the connection had too many open"},
+    {Counter::resp_unknown_verb, "resp.unknown_verb", "commands", "that are not known"},
+    {Counter::resp_unread_closed, "resp.unread_closed", "connections",
+     "to clients that read so little that their buffers were needed for others"},
+    {Counter::xds_lists, "xds.lists", "files", "of the xDS endpoint list that were taken"},
+    {Counter::xds_reads, "xds.reads", "files", "of the xDS endpoint list that were read"},
+    {Counter::xds_rejected, "xds.rejected", "files",
+     "of the xDS endpoint list that were not taken; the log says why"},
+}};
+
+constexpr bool in_order() {
+  for (std::size_t i = 0; i < kInfo.size(); ++i) {
+    if (kInfo.at(i).counter != static_cast<Counter>(i)) return false;
+  }
+  return true;
+}
+static_assert(in_order(), "the descriptions stand in the order of the enumeration");
+
+}  // namespace
+
+const CounterInfo& info_of(Counter counter) { return kInfo.at(static_cast<std::size_t>(counter)); }
+
+std::string counter_table() {
+  std::string table = "| name | unit | counts |\n| --- | --- | --- |\n";
+  for (const auto& info : kInfo) {
+    table += "| `";
+    table += info.name;
+    table += "` | ";
+    table += info.unit;
+    table += " | ";
+    table += info.help;
+    table += " |\n";
+  }
+  return table;
+}
+
+}  // namespace pathstack::core
--- /dev/null
+++ b/src/core/counters.cpp
@@ -0,0 +1,42 @@
+#include "core/counters.h"
+
+#include <iomanip>
+#include <sstream>
+#include <string_view>
+#include <utility>
+
+namespace pathstack::core {
+namespace {
+
+constexpr std::string_view kPresentValue = "now.";  // begins the name of a figure that is not a count
+constexpr int kFigureDigits = 4;
+
+}  // namespace
+
+std::vector<std::string> Counters::lines() const {
+  std::vector<std::string> out;
+  for (std::size_t i = 0; i < kCounters; ++i) {
+    if (values_.at(i) == 0) continue;
+    const CounterInfo& info = info_of(static_cast<Counter>(i));
+    out.push_back(std::string(info.name) + ' ' + std::to_string(values_.at(i)));
+  }
+  return out;
+}
+
+std::string Counters::status(const std::map<std::string, double>& module_figures) {
+  std::ostringstream line;
+  for (std::size_t i = 0; i < kCounters; ++i) {
+    const std::uint64_t more = values_.at(i) - std::exchange(reported_.at(i), values_.at(i));
+    if (more > 0) line << ' ' << info_of(static_cast<Counter>(i)).name << '=' << more;
+  }
+  if (line.tellp() == std::streampos(0)) return {};
+  line << std::setprecision(kFigureDigits);
+  for (const auto& [name, value] : module_figures) {
+    const bool is_present_value = name.compare(0, kPresentValue.size(), kPresentValue) == 0;
+    const double shown = is_present_value ? value : value - std::exchange(reported_figures_[name], value);
+    if (shown > 0) line << ' ' << name << '=' << shown;
+  }
+  return "status" + line.str();
+}
+
+}  // namespace pathstack::core
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,51 +1,35 @@
-// Counts of what the program takes in, sends and answers, by name.
+// Counts of what the program takes in, sends and answers.
 #pragma once
 
+#include <array>
 #include <cstdint>
-#include <iomanip>
 #include <map>
-#include <sstream>
 #include <string>
-#include <utility>
 #include <vector>
 
+#include "core/counter.h"
+
 namespace pathstack::core {
 
+/// The values of all counters since the start of the program. Used on the loop's thread only.
 class Counters {
  public:
-  void add(const std::string& name, std::uint64_t more = 1) { values_[name] += more; }
-  std::uint64_t value(const std::string& name) const {
-    const auto found = values_.find(name);
-    return found == values_.end() ? 0 : found->second;
-  }
-  /// All counters, one a line.
-  std::vector<std::string> lines() const {
-    std::vector<std::string> out;
-    for (const auto& [name, value] : values_) out.push_back(name + ' ' + std::to_string(value));
-    return out;
-  }
-  // One line: what was counted since the last such line, then the module's tally (figures "now." as they
-  // are). Nothing if nothing was counted.
-  std::string status(const std::map<std::string, double>& tally) {
-    std::ostringstream line;
-    for (const auto& [name, value] : values_) {
-      const auto more = value - std::exchange(told_[name], value);
-      if (more > 0) line << ' ' << name << '=' << more;
-    }
-    if (line.tellp() == std::streampos(0)) return {};
-    line << std::setprecision(4);
-    for (const auto& [name, value] : tally) {
-      const bool as_it_is = name.compare(0, 4, "now.") == 0;
-      const double more = as_it_is ? value : value - std::exchange(told_tally_[name], value);
-      if (more > 0) line << ' ' << name << '=' << more;
-    }
-    return "status" + line.str();
-  }
+  void add(Counter counter, std::uint64_t more = 1) { values_.at(index(counter)) += more; }
+  std::uint64_t value(Counter counter) const { return values_.at(index(counter)); }
+
+  /// All counters that are not 0, a line each. Cost: the number of counters.
+  std::vector<std::string> lines() const;
+
+  /// One line with what was counted since the last call, then the figures of the decision module: their
+  /// growth since the last call, or as they are for names that begin with "now.". Empty if nothing was
+  /// counted.
+  std::string status(const std::map<std::string, double>& module_figures);
 
  private:
-  std::map<std::string, std::uint64_t> told_;
-  std::map<std::string, double> told_tally_;
-  std::map<std::string, std::uint64_t> values_;
+  std::array<std::uint64_t, kCounters> values_{}, reported_{};
+  std::map<std::string, double> reported_figures_;
+
+  static std::size_t index(Counter counter) { return static_cast<std::size_t>(counter); }
 };
 
 }  // namespace pathstack::core
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -13,6 +13,15 @@
 constexpr int kMostLanes = 1024;
 constexpr double kMostMemoryMb = 1e6;
 
+Counter counter_of(Verdict verdict) {
+  switch (verdict) {
+    case Verdict::served: return Counter::calls_served;
+    case Verdict::refused: return Counter::calls_refused;
+    case Verdict::failed: break;
+  }
+  return Counter::calls_failed;
+}
+
 }  // namespace
 
 Dispatcher::Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters)
@@ -30,28 +39,28 @@
 
 // What no host can use costs hosts and the ration of loads all the same, and may close a connection on which
 // others wait: it ends here, whichever front it came through. Nothing if all is well.
-const char* Dispatcher::fault_of(const Call& call) const {
+std::optional<Counter> Dispatcher::fault_of(const Call& call) const {
   const auto named = [](const std::string& name) {
     return [&name](const auto& entry) { return entry.name == name; };
   };
   const auto& classes = settings_.classes;
   const auto cls = std::find_if(classes.begin(), classes.end(), named(call.class_name));
-  if (cls == classes.end()) return "calls.unknown_class";
+  if (cls == classes.end()) return Counter::calls_unknown_class;
   const auto& tenants = settings_.tenants;
   if (!call.tenant.empty() && !tenants.empty() &&
       std::none_of(tenants.begin(), tenants.end(), named(call.tenant))) {
-    return "calls.unknown_tenant";
+    return Counter::calls_unknown_tenant;
   }
   double most_mb = 0;
   for (const auto& [kind, megabytes] : settings_.kind_memory_mb) most_mb = std::max(most_mb, megabytes);
   if (!(most_mb > 0)) most_mb = kMostMemoryMb;  // not told
-  if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb)) return "calls.bad_figures";
-  if (call.lanes < 1 || call.lanes > kMostLanes) return "calls.bad_figures";
+  if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb)) return Counter::calls_bad_figures;
+  if (call.lanes < 1 || call.lanes > kMostLanes) return Counter::calls_bad_figures;
   // On sockets each time limit of the settings grows by this: clients are seen to wait a few ms past it.
   constexpr Millis time_limit_slack{50};
   const bool allow_in_range = call.allow.count() > 0 && call.allow <= cls->deadline + time_limit_slack;
-  if (!allow_in_range) return "calls.bad_figures";
-  return nullptr;
+  if (!allow_in_range) return Counter::calls_bad_figures;
+  return std::nullopt;
 }
 
 // Bounds the memory of refs; the one place where it shrinks.
@@ -65,16 +74,16 @@
 }
 
 bool Dispatcher::take(CallId id, Call&& call, Front& front) {
-  if (const char* fault = fault_of(call)) {
-    counters_.add(fault);
+  if (const auto fault = fault_of(call)) {
+    counters_.add(*fault);
     return false;
   }
   // Danger: hosts know a call by its ref; two under one would get each other's answers.
   if (!refs_.insert(call.ref).second) {
-    counters_.add("calls.ref_repeated");
+    counters_.add(Counter::calls_ref_repeated);
     return false;
   }
-  counters_.add("calls.taken");
+  counters_.add(Counter::calls_taken);
   load_budget_.note_call(clock_());
   Open& open = calls_[id];
   open.call = std::move(call);
@@ -90,7 +99,7 @@
 void Dispatcher::leave(CallId id) {
   Open* open = find(id);
   if (open == nullptr) return;
-  counters_.add("calls.left");
+  counters_.add(Counter::calls_left);
   // The module hears of it before the attempt ends: it must not try again what nobody waits for.
   run(module_.report(clock_(), CallLeft{id}));
   if ((open = find(id)) != nullptr && open->out) {
@@ -108,7 +117,7 @@
   for (const auto& [id, open] : calls_) ids.push_back(id);
   std::sort(ids.begin(), ids.end());
   for (const CallId id : ids) {
-    counters_.add("calls.ended_unserved");
+    counters_.add(Counter::calls_ended_unserved);
     run(module_.report(clock_(), CallLeft{id}));  // first, or it would try again what fails now
     carry_out(RefuseStep{id, Millis(0)});
   }
@@ -151,7 +160,7 @@
 
 bool Dispatcher::take_load_budget() {
   if (load_budget_.take(clock_())) return true;
-  counters_.add("guard.load_stopped");
+  counters_.add(Counter::guard_load_stopped);
   return false;
 }
 
@@ -165,12 +174,12 @@
     if (open == nullptr) continue;
     if (due.attempt >= 0) {
       if (!open->out || open->out->attempt.number != due.attempt) continue;
-      counters_.add("attempts.timed_out");
+      counters_.add(Counter::attempts_timed_out);
       const bool ran = hosts_.drop(open->out->attempt);
       give_back(due.call, *open, ran ? Outcome::timeout : Outcome::connect_failed, false);
     } else {
       // Danger: a call that the module forgot would never be answered.
-      counters_.add("calls.overdue");
+      counters_.add(Counter::calls_overdue);
       run(module_.report(now, CallLeft{due.call}));
       if (find(due.call) != nullptr) finish(due.call, Answer{});
     }
@@ -206,13 +215,13 @@
   // Attempts that a local fault kept here do not count; the backoff of `Hosts` bounds how many there are.
   const bool spent = attempt.number - open->not_sent >= settings_.max_attempts;
   if (open->out || again || spent || patience.count() < 1) {
-    counters_.add("guard.send_stopped");
+    counters_.add(Counter::guard_send_stopped);
     const bool other_out = open->out.has_value();
     if (!other_out) finish(step.call, Answer{});
     run(module_.report(now, AttemptOutcome{attempt, step.host, Outcome::moot, !other_out, 0, {}, {}}));
     return;
   }
-  counters_.add("attempts.sent");
+  counters_.add(Counter::attempts_sent);
   open->out = Out{attempt, step.host, now};
   due_.push({now + patience, step.call, attempt.number});
   hosts_.exec(attempt, step.host, open->call, patience);
@@ -232,13 +241,13 @@
 void Dispatcher::carry_out(const CancelStep& step) {
   Open* open = find(step.attempt.call);
   if (open == nullptr || !open->out || !(open->out->attempt == step.attempt)) return;
-  counters_.add("attempts.cancelled");
+  counters_.add(Counter::attempts_cancelled);
   const bool ran = hosts_.drop(step.attempt);
   give_back(step.attempt.call, *open, ran ? Outcome::cancelled : Outcome::moot, false);
 }
 
 void Dispatcher::carry_out(const LoadStep& step) {
-  counters_.add("orders.sent");
+  counters_.add(Counter::orders_sent);
   hosts_.ensure(step.host, step.function, step.copies);
 }
 
@@ -248,8 +257,7 @@
   Open open = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
   forget_ref(open.call.ref);
-  static const char* const names[] = {"calls.served", "calls.refused", "calls.failed"};
-  counters_.add(names[static_cast<std::size_t>(answer.verdict)]);
+  counters_.add(counter_of(answer.verdict));
   if (open.out) hosts_.drop(open.out->attempt);
   open.front->answer(id, std::move(answer));
   give_back(id, open, Outcome::cancelled, true);
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -87,7 +87,7 @@
   static void note_outcome(Open& open, Outcome outcome);
   void give_back(CallId id, Open& open, Outcome outcome, bool over);
   void finish(CallId id, Answer&& answer);
-  const char* fault_of(const Call& call) const;
+  std::optional<Counter> fault_of(const Call& call) const;
   void forget_ref(const std::string& ref);
   Open* find(CallId id);
 };
--- a/src/core/log_writer.cpp
+++ b/src/core/log_writer.cpp
@@ -22,7 +22,7 @@
 void LogWriter::write_line(std::string_view line) {
   flush();
   if (pending_.size() + line.size() + 1 > kMaxPending) {
-    counters_.add("log.lines_dropped");
+    counters_.add(Counter::log_lines_dropped);
     return;
   }
   pending_ += line;
@@ -42,7 +42,7 @@
     if (errno == EINTR) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
     // Nobody can read it any more.
-    counters_.add("log.lines_dropped",
+    counters_.add(Counter::log_lines_dropped,
                   static_cast<std::uint64_t>(std::count(pending_.begin(), pending_.end(), '\n')));
     pending_.clear();
   }
--- a/src/feed/feed.cpp
+++ b/src/feed/feed.cpp
@@ -44,7 +44,7 @@
  public:
   Connection(Feed& feed, net::Socket socket)
       : Stream(feed.loop_, feed.pool_, std::move(socket), true), feed_(feed), cutter_(feed.max_event_) {
-    start_timer(silence_, feed_.timeouts_.connect, [this] { give_up("feed.connect_late"); });
+    start_timer(silence_, feed_.timeouts_.connect, [this] { give_up(core::Counter::feed_connect_late); });
   }
   ~Connection() override { cancel_timers(); }
 
@@ -62,7 +62,7 @@
     feed_.loop_.cancel(silence_);
     feed_.loop_.cancel(line_);
   }
-  void give_up(const char* counter) {
+  void give_up(core::Counter counter) {
     feed_.counters_.add(counter);
     end_later();
   }
@@ -70,18 +70,18 @@
   void expect_bytes() {
     start_timer(silence_, feed_.patience_.silence(), [this] {
       if (current()) feed_.patience_.silence_ran_out();
-      give_up("feed.quiet");
+      give_up(core::Counter::feed_quiet);
     });
   }
   // Danger: a log may trickle for ever within one line.
   void expect_line() {
     start_timer(line_, feed_.patience_.line(), [this] {
       if (current()) feed_.patience_.line_ran_out();
-      give_up("feed.line_late");
+      give_up(core::Counter::feed_line_late);
     });
   }
   void connected() override {
-    feed_.counters_.add("feed.connections");
+    feed_.counters_.add(core::Counter::feed_connections);
     write("since " + std::to_string(feed_.log_.last()) + "\n");
     expect_bytes();
     expect_line();
@@ -106,12 +106,12 @@
     feed_.patience_.line_received();
     if (read == Log::Read::nothing) return true;
     feed_.patience_.update_received();
-    feed_.counters_.add("feed.events");
+    feed_.counters_.add(core::Counter::feed_events);
     feed_.told_(list);
     return true;
   }
   void reject() {
-    feed_.counters_.add("feed.malformed_or_gap");
+    feed_.counters_.add(core::Counter::feed_malformed_or_gap);
     end_later();
   }
   void ended() override {
@@ -146,7 +146,7 @@
 // once: what it has to tell counts as told before long.
 void Feed::move(const std::string& address) {
   if (address == address_) return;
-  counters_.add("feed.moves");
+  counters_.add(core::Counter::feed_moves);
   address_ = address;
   const std::shared_ptr<Connection> old = std::move(connection_);
   connection_.reset();
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -81,7 +81,7 @@
 Fleet::Host* Fleet::ready_host(const std::string& id) {
   const auto found = hosts_.find(id);
   if (found != hosts_.end() && found->second.member.entry.state == WorkerState::ready) return &found->second;
-  counters_.add("guard.host_not_ready");
+  counters_.add(core::Counter::guard_host_not_ready);
   return nullptr;
 }
 
@@ -96,16 +96,16 @@
   if (best != nullptr) return {best};
   // With more hosts than links may be up, those to hosts used a while ago would keep out all others.
   if (counted >= limits_.links_a_host || (links_ >= limits_.links && !close_idle_link())) {
-    counters_.add("hosts.no_link");
+    counters_.add(core::Counter::hosts_no_link);
     return {nullptr, Outcome::not_sent};
   }
   net::ConnectResult connection = net::begin_connect(host.member.address);
   if (connection.fault != net::ConnectFault::none) {
     const bool local = connection.fault == net::ConnectFault::local;
-    counters_.add(local ? "hosts.connect_local_faults" : "hosts.connect_failed");
+    counters_.add(local ? core::Counter::hosts_connect_local_faults : core::Counter::hosts_connect_failed);
     return {nullptr, local ? Outcome::not_sent : Outcome::connect_failed};
   }
-  counters_.add("hosts.links_opened");
+  counters_.add(core::Counter::hosts_links_opened);
   backoff_ = Millis(0);
   ++links_;
   LinkObserver& observer = *this;
@@ -128,7 +128,7 @@
     }
   }
   if (!oldest) return false;
-  counters_.add("hosts.idle_ended");
+  counters_.add(core::Counter::hosts_idle_ended);
   oldest->end_later();
   oldest->flush();  // at once: its descriptor is needed
   return true;
@@ -175,7 +175,7 @@
 void Fleet::probe(const std::string& id) {
   const auto [link, failure] = link_to_ready(id, {});
   if (link != nullptr) {
-    counters_.add("hosts.probes");
+    counters_.add(core::Counter::hosts_probes);
     return link->probe("p" + std::to_string(++last_tag_));
   }
   later(failure, limits_.order_timeout, [this, id, outcome = failure] {
@@ -208,7 +208,7 @@
 
 void Fleet::on_link_closed(Link& link) {
   --links_;
-  counters_.add("hosts.links_ended");
+  counters_.add(core::Counter::hosts_links_ended);
   for (auto i = attempts_.begin(); i != attempts_.end();) {
     i = i->second == &link ? attempts_.erase(i) : std::next(i);
   }
--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -28,6 +28,16 @@
   return found == words.end() ? std::nullopt : std::optional<Outcome>(found->second);
 }
 
+core::Counter answer_counter(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::ok: return core::Counter::hosts_answers_data;
+    case Outcome::miss: return core::Counter::hosts_answers_absent;
+    case Outcome::full: return core::Counter::hosts_answers_full;
+    case Outcome::moot: return core::Counter::hosts_answers_moot;
+    default: return core::Counter::hosts_answers_failed;
+  }
+}
+
 bool is_probe_answer(const std::string& word) { return word == "well" || word == "ill"; }
 
 bool is_plain_id(const std::string& id) {
@@ -51,7 +61,7 @@
       host_(std::move(host)),
       history_(limits.duplicate_window) {
   idle_timer_ = loop.at(loop.now() + limits_.connect_timeout, [this] {
-    counters_.add("hosts.connect_timeouts");
+    counters_.add(core::Counter::hosts_connect_timeouts);
     end_later();
   });
 }
@@ -203,7 +213,7 @@
 void Link::connected() {
   const Millis now = loop().now();
   liveness_.connected(now);
-  counters_.add("hosts.links_up");
+  counters_.add(core::Counter::hosts_links_up);
   const auto lines = std::move(waiting_lines_);
   const auto attempts = std::move(waiting_attempts_);
   waiting_lines_.clear();
@@ -227,7 +237,7 @@
     break;
   }
   if (!sound) {
-    counters_.add("hosts.malformed");
+    counters_.add(core::Counter::hosts_malformed);
     end_later();
   }
   update_idle_timer();
@@ -258,7 +268,7 @@
   liveness_.reset_backoff();
   history_.answered(reply.id, loop().now());
   history_.confirm_read(sent.end);
-  counters_.add("hosts.answers." + reply.word);
+  counters_.add(answer_counter(outcome));
   const auto crowd = std::min(net::parse_whole(field(fields, "crowd"), kMaxNumber).value_or(0), kMaxCrowd);
   observer_.on_attempt_ended(sent.attempt, {outcome, static_cast<int>(crowd), read_report(field(fields, "l")),
                                             reply.body.value_or("")});
@@ -277,11 +287,11 @@
 
 void Link::take_other_answer(const std::string& id) {
   if (history_.take_late_answer(id, loop().now()) == RefHistory::Late::first) {
-    counters_.add("hosts.late_answers");  // to an attempt dropped meanwhile
+    counters_.add(core::Counter::hosts_late_answers);  // to an attempt dropped meanwhile
     return;
   }
   // More than belongs to it: what is out here keeps its own answers, nothing new is sent.
-  counters_.add("hosts.surplus_answers");
+  counters_.add(core::Counter::hosts_surplus_answers);
   stop_using();
 }
 
@@ -338,19 +348,19 @@
   // What waits since a stall of this program's own loop, no host has refused yet.
   const bool refused = has_stale_attempt(now) && !flush_now() && has_stale_attempt(now);
   if (refused) {
-    counters_.add("hosts.stalled_links");
+    counters_.add(core::Counter::hosts_stalled_links);
     return end_later();
   }
   const auto verdict =
       open() ? liveness_.judge(now, last_timeout_, attempts_.size()) : Liveness::Verdict::fine;
   if (verdict == Liveness::Verdict::answer_cut_off || verdict == Liveness::Verdict::silent) {
     const bool cut_off = verdict == Liveness::Verdict::answer_cut_off;
-    counters_.add(cut_off ? "hosts.cut_answers" : "hosts.silent_links");
+    counters_.add(cut_off ? core::Counter::hosts_cut_answers : core::Counter::hosts_silent_links);
     return end_later();
   }
   if (verdict == Liveness::Verdict::check_due && limits_.probes) {
     liveness_.checked(now);
-    counters_.add("hosts.health_checks");
+    counters_.add(core::Counter::hosts_health_checks);
     const std::string tag = "h" + std::to_string(++health_checks_);
     send_request(tag, Request::Kind::health_check, 0, "health " + tag);
   }
@@ -367,7 +377,7 @@
   idle_timer_ = loop().at(loop().now() + idle, [this] { end_later(); });
 }
 
-void Link::backlog_discarded() { counters_.add("hosts.unread_closed"); }
+void Link::backlog_discarded() { counters_.add(core::Counter::hosts_unread_closed); }
 
 void Link::ended() {
   for (const auto& timer : {idle_timer_, drain_timer_, liveness_timer_}) loop().cancel(timer);
@@ -384,7 +394,7 @@
     if (!written || outbox().written() < end) return Outcome::connect_failed;
     return ended_by_host ? Outcome::reset : Outcome::unreachable;
   };
-  if (!liveness_.ever_connected()) counters_.add("hosts.links_refused");
+  if (!liveness_.ever_connected()) counters_.add(core::Counter::hosts_links_refused);
   for (const auto& [ref, sent] : attempts) {
     observer_.on_attempt_ended(sent.attempt, {outcome(sent.written, sent.end), 0, std::nullopt, {}});
   }
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -88,11 +88,11 @@
   }
   // What is open still gets its answer, and until then the rest may still come.
   void request_overdue() {
-    front_.counters_.add(asked ? "resp.half_request" : "resp.no_request");
+    front_.counters_.add(asked ? core::Counter::resp_half_request : core::Counter::resp_no_request);
     if (open_calls.empty()) return close();
     overdue_ = true;
   }
-  void backlog_discarded() override { front_.counters_.add("resp.unread_closed"); }
+  void backlog_discarded() override { front_.counters_.add(core::Counter::resp_unread_closed); }
   void received(std::string_view bytes) override {
     note_reading();
     std::vector<Words> commands;
@@ -112,7 +112,7 @@
       front_.take(*this, std::move(words));
     }
     if (sound) return;
-    front_.counters_.add("resp.malformed");
+    front_.counters_.add(core::Counter::resp_malformed);
     reject_input();
   }
   // What is read in a later turn than the first bytes did not wait for the connection to be accepted.
@@ -131,7 +131,7 @@
     };
     const auto kept = std::remove_if(commands.rbegin(), commands.rend(), taken_back);
     if (kept == commands.rend()) return;
-    front_.counters_.add("resp.taken_back", static_cast<std::uint64_t>(commands.rend() - kept));
+    front_.counters_.add(core::Counter::resp_taken_back, static_cast<std::uint64_t>(commands.rend() - kept));
     commands.erase(commands.begin(), kept.base());
   }
   void ended() override {
@@ -188,7 +188,7 @@
 }
 
 // `client` is a reference of its own: it may be erased from its list at once.
-void Front::shed(std::shared_ptr<Client> client, const char* why) {
+void Front::shed(std::shared_ptr<Client> client, core::Counter why) {
   counters_.add(why);
   client->close();
   client->flush();
@@ -200,7 +200,7 @@
   closing_.splice(closing_.end(), *client.list, client.place);
   client.list = &closing_;
   if (closing_.size() <= std::max<std::size_t>(limits_.closing, 1)) return;
-  counters_.add("resp.linger_cut");
+  counters_.add(core::Counter::resp_linger_cut);
   const std::shared_ptr<Client> oldest = closing_.front();
   oldest->end_later();
   oldest->flush();
@@ -216,7 +216,7 @@
   const auto self = std::prev(clients_.end());
   const auto idle = std::find_if(clients_.begin(), self, [](const auto& c) { return c->idle(); });
   if (idle != self) {
-    shed(*idle, "resp.idle_closed");
+    shed(*idle, core::Counter::resp_idle_closed);
     return true;
   }
   return false;
@@ -224,7 +224,7 @@
 
 // Nothing of it is sent on: its calls are refused, and the connection ends.
 void Front::turn_away(Client& client, const std::vector<Words>& commands) {
-  counters_.add("resp.no_place");
+  counters_.add(core::Counter::resp_no_place);
   for (const auto& words : commands) {
     if (words.size() < 2) continue;
     if (words[0] == "CALL") say(client, words[1], core::Verdict::refused, core::Millis(0), {});
@@ -238,7 +238,7 @@
   if (newcomers_.size() <= limits_.newcomers) return;
   const std::shared_ptr<Client> oldest = newcomers_.front();
   oldest->ready(POLLIN);
-  if (!oldest->asked && !oldest->ending()) shed(oldest, "resp.silent_closed");
+  if (!oldest->asked && !oldest->ending()) shed(oldest, core::Counter::resp_silent_closed);
 }
 
 void Front::ready(short) { accept_some(); }
@@ -249,9 +249,9 @@
   for (std::size_t i = 0; i < kAcceptsATurn && may_have_more(status); ++i) {
     net::AcceptResult result = net::accept_from(listener_);
     status = result.status;
-    if (status == net::AcceptStatus::connection_failed) counters_.add("resp.accept_failed");
+    if (status == net::AcceptStatus::connection_failed) counters_.add(core::Counter::resp_accept_failed);
     if (status != net::AcceptStatus::accepted) continue;
-    counters_.add("resp.connections");
+    counters_.add(core::Counter::resp_connections);
     accept_backoff_ = core::Millis(0);
     newcomers_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
     newcomers_.back()->place = std::prev(newcomers_.end());
@@ -261,7 +261,7 @@
   }
   if (status == net::AcceptStatus::none_waiting) waiting_since_.reset();
   if (status == net::AcceptStatus::retry_later) {
-    counters_.add("resp.no_descriptor");
+    counters_.add(core::Counter::resp_no_descriptor);
     pause_listening();
   }
   return status;
@@ -288,12 +288,12 @@
 void Front::take(Client& client, Words&& words) {
   const auto tag = words.size() < 2 ? std::nullopt : net::parse_whole(words[1], UINT64_MAX);
   if (!tag || *tag == 0) {
-    counters_.add("resp.no_tag");  // there is nothing to answer under
+    counters_.add(core::Counter::resp_no_tag);  // there is nothing to answer under
     return client.reject_input();
   }
   if (words[0] == "CALL") return call(client, std::move(words));
   if (words[0] == "CANCEL") {
-    counters_.add("resp.cancels");
+    counters_.add(core::Counter::resp_cancels);
     const auto found = client.open_calls.find(words[1]);
     if (found == client.open_calls.end()) return;  // its answer has crossed
     const core::CallId id = found->second;
@@ -301,44 +301,45 @@
     return dispatcher_.leave(id);
   }
   if (words[0] == "CHECK") return say_check(client, words[1]);
-  counters_.add("resp.unknown_verb");
+  counters_.add(core::Counter::resp_unknown_verb);
   say(client, words[1], core::Verdict::failed, core::Millis(0), {});
 }
 
 void Front::call(Client& client, Words&& words) {
   const std::string tag = words[1];
   if (client.open_calls.count(tag) != 0) {
-    counters_.add("resp.tag_repeated");
+    counters_.add(core::Counter::resp_tag_repeated);
     // An answer to one of the two calls could be taken for the other's, so none may say OK.
     fail_open_call(client, client.open_calls[tag]);
     return client.reject_input();
   }
   if (client.open_calls.size() >= limits_.calls_a_client) {
-    return reject(client, tag, "resp.too_many_open", core::Verdict::refused);
+    return reject(client, tag, core::Counter::resp_too_many_open, core::Verdict::refused);
   }
-  if (words.size() < 4 || words.size() > 5) return reject(client, tag, "resp.bad_call");
+  if (words.size() < 4 || words.size() > 5) return reject(client, tag, core::Counter::resp_bad_call);
   const auto fields = net::parse_fields(words[3]);
-  if (!fields) return reject(client, tag, "resp.bad_fields");
+  if (!fields) return reject(client, tag, core::Counter::resp_bad_fields);
   const auto ref = net::parse_hex16(field(*fields, "ref")),
              function = net::parse_hex16(field(*fields, "lookup"));
   const auto allow = net::parse_whole(field(*fields, "allow"), kLongestAllow);
   const auto spec = net::parse_fields(field(*fields, "spec"), ';', ':');
-  if (!ref || !function || !allow || !spec) return reject(client, tag, "resp.bad_fields");
+  if (!ref || !function || !allow || !spec) return reject(client, tag, core::Counter::resp_bad_fields);
   // It stands in a host's field list as it is: what would end the field there cannot be passed on.
   const std::string& key = field(*fields, "replay");
-  if (key.find_first_of(" ,=\r\n") != std::string::npos) return reject(client, tag, "resp.bad_fields");
+  if (key.find_first_of(" ,=\r\n") != std::string::npos)
+    return reject(client, tag, core::Counter::resp_bad_fields);
   // A figure that is there can be read; the core knows which ones can be used.
   const auto effort = net::parse_number(field(*fields, "effort")),
              memory = net::parse_number(field(*spec, "memory_mb"));
   const auto lanes = net::parse_whole(field(*spec, "lanes"), INT32_MAX);
   if ((!effort && fields->count("effort") != 0) || (!memory && spec->count("memory_mb") != 0) ||
       (!lanes && spec->count("lanes") != 0)) {
-    return reject(client, tag, "resp.bad_fields");
+    return reject(client, tag, core::Counter::resp_bad_fields);
   }
   const std::size_t size = words.size() > 4 ? words[4].size() : 0;
   // Bounds memory: a client of any number of connections may hold only so much of it.
   if (bodies_ + size > limits_.body_bytes) {
-    return reject(client, tag, "resp.no_memory", core::Verdict::refused);
+    return reject(client, tag, core::Counter::resp_no_memory, core::Verdict::refused);
   }
 
   core::Call call;
@@ -362,16 +363,16 @@
   bodies_ += size;
   if (!dispatcher_.take(id, std::move(call), *this)) {
     unfile(id);
-    reject(client, tag, "resp.not_taken");
+    reject(client, tag, core::Counter::resp_not_taken);
   }
 }
 
 // Danger: a client that sends the same again as soon as it is turned away would do so for ever.
-void Front::reject(Client& client, const std::string& tag, const char* why, core::Verdict verdict) {
+void Front::reject(Client& client, const std::string& tag, core::Counter why, core::Verdict verdict) {
   counters_.add(why);
   say(client, tag, verdict, core::Millis(0), {});
   if (++client.faults <= kFaultsMost) return;
-  counters_.add("resp.faults_closed");
+  counters_.add(core::Counter::resp_faults_closed);
   client.reject_input();
 }
 
@@ -393,7 +394,7 @@
   // Guards the pool against a client that does not read. What it has open adds a bounded number of answers.
   if (client.outbox().appended() - client.outbox().written() <= kUnreadMost || client.discards_input())
     return;
-  counters_.add("resp.unread_closed");
+  counters_.add(core::Counter::resp_unread_closed);
   client.reject_input();
 }
 
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -82,12 +82,12 @@
   void turn_away(Client& client, const std::vector<Words>& commands);
   void bound_newcomers();
   net::AcceptStatus accept_some();
-  void shed(std::shared_ptr<Client> client, const char* why);
+  void shed(std::shared_ptr<Client> client, core::Counter why);
   void pause_listening();
   void resume_listening();
   void take(Client& client, Words&& words);
   void call(Client& client, Words&& words);
-  void reject(Client& client, const std::string& tag, const char* why,
+  void reject(Client& client, const std::string& tag, core::Counter why,
               core::Verdict verdict = core::Verdict::failed);
   void say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
            std::string_view body);
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,5 @@
-// Translation between the bench's JSON lines and the interface of the decision module. No decision lives here.
+// Translation between the bench's JSON lines and the interface of the decision module. No decision lives
+// here.
 #pragma once
 
 #include <algorithm>
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -163,7 +163,7 @@
 }
 
 bool HostFile::read(std::string& fault) {
-  counters_.add("xds.reads");
+  counters_.add(core::Counter::xds_reads);
   const std::optional<std::string> content = config::read_file(path_);
   if (!content) {
     fault = "cannot be read";
@@ -174,7 +174,7 @@
   if (version != version_) {
     version_ = version;
     fault_ = take(*content);
-    counters_.add(fault_.empty() ? "xds.lists" : "xds.rejected");
+    counters_.add(fault_.empty() ? core::Counter::xds_lists : core::Counter::xds_rejected);
   }
   fault = fault_;
   return fault_.empty();
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -28,7 +28,7 @@
     REQUIRE(front.listen("127.0.0.1:0"));
   }
   StandInHost& host() { return *world.host[0]; }
-  std::uint64_t count(const char* name) const { return world.counters.value(name); }
+  std::uint64_t count(core::Counter counter) const { return world.counters.value(counter); }
   template <typename Until>
   bool turn_until(const Until& until) {
     return world.turn_until(until, kMostTurns);
@@ -112,12 +112,13 @@
 
 TEST_CASE("a call that is open when its client sends a fault gets its answer, and nothing behind is begun") {
   struct Fault {
-    const char* counter;
+    core::Counter counter;
     std::string bytes;
   };
-  const auto fault =
-      GENERATE(Fault{"resp.malformed", kGarbage}, Fault{"resp.no_tag", request({"CALL", "0"})},
-               Fault{"resp.no_tag", request({"CALL"})}, Fault{"resp.tag_repeated", call("2", "y")});
+  const auto fault = GENERATE(Fault{core::Counter::resp_malformed, kGarbage},
+                              Fault{core::Counter::resp_no_tag, request({"CALL", "0"})},
+                              Fault{core::Counter::resp_no_tag, request({"CALL"})},
+                              Fault{core::Counter::resp_tag_repeated, call("2", "y")});
   const bool same_write = GENERATE(true, false);
   Platform p;
   p.keep_host_silent();
@@ -131,7 +132,7 @@
   REQUIRE(p.turn_until([&] { return p.count(fault.counter) == 1 && p.host().execs >= 1; }));
   CHECK(client.read() == State::open);
   p.serve(ref_of("1"));
-  const bool repeated = std::string(fault.counter) == "resp.tag_repeated";
+  const bool repeated = fault.counter == core::Counter::resp_tag_repeated;
   if (!repeated) {
     REQUIRE(p.turn_until([&] { return p.host().execs == 2; }));
     p.serve(ref_of("2"));
@@ -162,7 +163,8 @@
   std::string bytes = call("1");
   for (int i = 0; i < kBadCalls; ++i) bytes += request({"CALL", std::to_string(100 + i), "bin-record"});
   client.send_all(p, bytes + call("2"));
-  REQUIRE(p.turn_until([&] { return p.count("resp.faults_closed") == 1 && p.host().execs == 1; }));
+  REQUIRE(
+      p.turn_until([&] { return p.count(core::Counter::resp_faults_closed) == 1 && p.host().execs == 1; }));
   p.serve(ref_of("1"));
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.word_of("1") == "OK");
@@ -177,7 +179,7 @@
   p.keep_host_silent();
   RawClient client(p.front.address());
   client.send_all(p, call("1") + kGarbage);
-  REQUIRE(p.turn_until([&] { return p.count("resp.malformed") == 1 && p.host().execs == 1; }));
+  REQUIRE(p.turn_until([&] { return p.count(core::Counter::resp_malformed) == 1 && p.host().execs == 1; }));
   CHECK(client.read() == State::open);
   client.close();
   REQUIRE(p.turn_until([&] { return p.host().drops == 1; }));
@@ -273,7 +275,7 @@
     REQUIRE(clients.back().read_to_end(p) == State::closed_in_order);
     CHECK(clients.back().word_of("1") == "UP");
   }
-  CHECK(p.count("resp.linger_cut") == kClients - 2);
+  CHECK(p.count(core::Counter::resp_linger_cut) == kClients - 2);
 }
 
 TEST_CASE("a health check on a connection for which there is no place is answered") {
--- a/tests/invoker/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -216,7 +216,7 @@
   write(ready.substr(0, ready.size() / 2));
   REQUIRE(turn_until([&] { return !faults.empty(); }));
   for (int i = 0; i < 5; ++i) loop.turn(loop.now() + Millis(20), [] {});
-  CHECK(counters.value("xds.rejected") == 1);
+  CHECK(counters.value(core::Counter::xds_rejected) == 1);
   CHECK(faults.size() == 1);
   CHECK(told.size() == 2);
   write(ready);
@@ -240,18 +240,18 @@
                      [&](const auto& list) { told.push_back(list); });
   std::string fault;
   REQUIRE(file.start(fault));
-  const auto wait_for = [&](const char* counter, std::uint64_t value) {
+  const auto wait_for = [&](core::Counter counter, std::uint64_t value) {
     for (int i = 0; i < 2000 && counters.value(counter) < value; ++i)
       loop.turn(loop.now() + Millis(20), [] {});
     return counters.value(counter) == value;
   };
   write(assignment(json::array({endpoint(1, "DRAINING"), endpoint(2, "HEALTHY")})).dump());
-  REQUIRE(wait_for("xds.lists", 2));
+  REQUIRE(wait_for(core::Counter::xds_lists, 2));
   CHECK(told[1].members[0].entry.state == core::WorkerState::draining);
   CHECK(told[1].members[0].entry.started == Millis(0));
   CHECK(told[1].members[1].entry.started > Millis(0));
   write("{\"half\": ");
-  REQUIRE(wait_for("xds.rejected", 1));
+  REQUIRE(wait_for(core::Counter::xds_rejected, 1));
   CHECK(told.size() == 2);
   std::remove(path);
 }
--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -183,9 +183,9 @@
   CHECK_FALSE(takes([](core::Call& c) { c.allow = Millis(1551); }));
   CHECK_FALSE(takes([](core::Call& c) { c.allow = Millis(3600000); }));
   CHECK(takes([](core::Call& c) { c.tenant.clear(); }));
-  CHECK(b.counters.value("calls.taken") == 3);
-  CHECK(b.counters.value("calls.ref_repeated") == 2);
-  CHECK(b.counters.value("calls.bad_figures") == 8);
+  CHECK(b.counters.value(core::Counter::calls_taken) == 3);
+  CHECK(b.counters.value(core::Counter::calls_ref_repeated) == 2);
+  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 8);
 }
 
 // Failure found on a calm day on real sockets: first calls with allow=2003 under a deadline of 2,000 ms were
@@ -194,8 +194,8 @@
   Bench b(1, settings());
   b.call("bin-check", "early", Millis(1503));
   b.call("bin-check", "earliest", Millis(1550));
-  CHECK(b.counters.value("calls.bad_figures") == 0);
-  CHECK(b.counters.value("calls.taken") == 2);
+  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
+  CHECK(b.counters.value(core::Counter::calls_taken) == 2);
   CHECK(b.desk.attempts.size() == 2);
 }
 
@@ -205,7 +205,7 @@
   s.kind_memory_mb["std"] = 0;
   Bench b(1, s);
   const auto id = b.call("bin-check", "a");
-  CHECK(b.counters.value("calls.bad_figures") == 0);
+  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
   CHECK(b.desk.attempts.size() == 1);
   CHECK(b.desk.attempts.begin()->first.call == id);
 }
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -118,7 +118,7 @@
     server.calls.accept_errors = {error, error, error};
     CheckingClient client(server);
     CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
-    CHECK(server.world.counters.value("resp.no_descriptor") == 3);
+    CHECK(server.world.counters.value(core::Counter::resp_no_descriptor) == 3);
   }
 }
 
@@ -174,7 +174,7 @@
   CheckingClient client(server);
   REQUIRE(server.world.turn_until([&] { return server.calls.accepts > 0; }, kMaxTurns));
   CHECK(server.calls.accepts == static_cast<int>(errors.size()) + 2);  // the client, and none waiting
-  CHECK(server.world.counters.value("resp.accept_failed") == errors.size());
+  CHECK(server.world.counters.value(core::Counter::resp_accept_failed) == errors.size());
   CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
 }
 
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -53,7 +53,7 @@
   CHECK(next.asked.front() == 3);
   CHECK(turn_until([&] { return old.server.peers.empty(); }));
   CHECK(old.asked.size() == 1);
-  CHECK(counters.value("feed.moves") == 1);
+  CHECK(counters.value(core::Counter::feed_moves) == 1);
 }
 
 TEST_CASE("a change log that stops half-way through an event and stays open is asked again") {
@@ -96,7 +96,7 @@
   for (int i = 0; i < 5000 && told.size() < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(told == std::vector<std::string>{"s1", "s2", "s3", "s4"});
   CHECK(log.asked == std::vector<std::uint64_t>{0, 2});
-  CHECK(counters.value("feed.malformed_or_gap") == 1);
+  CHECK(counters.value(core::Counter::feed_malformed_or_gap) == 1);
 }
 
 std::string row_of(std::size_t host) {
@@ -201,7 +201,7 @@
   REQUIRE(updates.size() == 1);
   CHECK(updates[0].members.size() == 5);
   CHECK(log.asked >= 2);
-  CHECK(counters.value("feed.line_late") == log.asked - 1);
+  CHECK(counters.value(core::Counter::feed_line_late) == log.asked - 1);
 }
 
 TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
@@ -316,7 +316,7 @@
   REQUIRE(turn_until([&] { return updates.size() == 20; }));
   CHECK(updates == all);
   CHECK(first.asked == std::vector<std::uint64_t>{0, 5});
-  CHECK(counters.value("feed.moves") == 6);
+  CHECK(counters.value(core::Counter::feed_moves) == 6);
   CHECK(turn_until([&] { return second.server.peers.empty(); }));
 }
 
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -88,14 +88,14 @@
   const net::ScopedSystemCalls scope(calls);
   (of_socket ? calls.socket_error : calls.connect_error) = error;
   take_call(world, front, "000000000000000a", Millis(1400));
-  CHECK(world.counters.value("hosts.connect_local_faults") == 1);
-  CHECK(world.counters.value("hosts.connect_failed") == 0);
+  CHECK(world.counters.value(core::Counter::hosts_connect_local_faults) == 1);
+  CHECK(world.counters.value(core::Counter::hosts_connect_failed) == 0);
   calls.socket_error = calls.connect_error = 0;
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
   CHECK(front.verdicts == std::vector<core::Verdict>{core::Verdict::served});
   CHECK(world.host[0]->execs == 1);
-  CHECK(world.counters.value("hosts.probes") == 0);
-  CHECK(world.counters.value("hosts.links_opened") == 1);
+  CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == 1);
 }
 
 TEST_CASE("a lasting local fault ends a call as refused after a bounded number of connects") {
@@ -117,7 +117,7 @@
   take_call(world, front, "000000000000000b", Millis(1400));
   REQUIRE(world.turn_until([&] { return front.verdicts.size() == 2; }, kMaxTurns));
   CHECK(front.verdicts[1] == core::Verdict::served);
-  CHECK(world.counters.value("hosts.probes") == 0);
+  CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
 }
 
 TEST_CASE("attempts that a local fault kept back do not count against the attempts that a call may have") {
@@ -133,7 +133,7 @@
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
   CHECK(front.verdicts == std::vector<core::Verdict>{core::Verdict::served});
   CHECK(calls.connects == 4);
-  CHECK(world.counters.value("guard.send_stopped") == 0);
+  CHECK(world.counters.value(core::Counter::guard_send_stopped) == 0);
 }
 
 TEST_CASE("a load order or a probe that a local fault kept back is no reason to probe its host") {
@@ -144,7 +144,8 @@
   take_call(world, front, "000000000000000a", Millis(1400));  // the module knows the function from here on
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
   world.host[0]->server.peers.front()->end_later();
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.links_ended") == 1; }, kMaxTurns));
+  REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_ended) == 1; },
+                           kMaxTurns));
   calls.connect_error = ENETUNREACH;
   const int connects_before = calls.connects;
   world.fleet.ensure("h0", 0xa1, 1);
@@ -234,7 +235,7 @@
   single.connect();
   single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   REQUIRE(single.turn_until([&] { return single.closed; }));
-  CHECK(single.counters.value("hosts.silent_links") == 1);
+  CHECK(single.counters.value(core::Counter::hosts_silent_links) == 1);
   CHECK(single.attempts.at({1, 0}) == Outcome::unreachable);
 }
 
@@ -291,7 +292,7 @@
       return single.closed || single.host.execs > 0;
     }));
     CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
-    CHECK(single.counters.value("hosts.stalled_links") == 1);
+    CHECK(single.counters.value(core::Counter::hosts_stalled_links) == 1);
   }
   SECTION("its client goes") {
     single.loop.turn(single.loop.now(), [] {});
@@ -326,9 +327,9 @@
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
   CHECK(front.verdicts == std::vector<core::Verdict>{core::Verdict::refused});
   CHECK(world.host[0]->execs == 1);
-  CHECK(world.counters.value("hosts.no_link") >= 1);
-  CHECK(world.counters.value("hosts.no_link") <= 30);
-  CHECK(world.counters.value("hosts.probes") == 0);
+  CHECK(world.counters.value(core::Counter::hosts_no_link) >= 1);
+  CHECK(world.counters.value(core::Counter::hosts_no_link) <= 30);
+  CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
 }
 
 }  // namespace
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -116,7 +116,7 @@
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, 20000));
   CHECK(front.verdicts[0] == core::Verdict::served);
   CHECK(execs == 3);
-  CHECK(world.counters.value("hosts.links_opened") == 1);
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == 1);
 }
 
 TEST_CASE("a further attempt after a dropped one shares its connection once the host has read the drop") {
@@ -132,11 +132,12 @@
   const bool drop_was_read = GENERATE(true, false);
   if (drop_was_read) {
     world.fleet.exec({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
-    REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 1; }, 20000));
+    REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 1; },
+                             20000));
   }
   world.fleet.exec({1, 1}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == (drop_was_read ? 3 : 2); }, 20000));
-  CHECK(world.counters.value("hosts.links_opened") == (drop_was_read ? 1 : 2));
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == (drop_was_read ? 1 : 2));
 }
 
 // Failure found in review: connections to a host's former process counted among those to its new one.
@@ -150,9 +151,10 @@
   world.tell(pathstack::policy::WorkerState::ready, world.loop.now().count());
   world.fleet.exec({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 2; }, 2000));
-  CHECK(world.counters.value("hosts.no_link") == 0);
+  CHECK(world.counters.value(core::Counter::hosts_no_link) == 0);
   world.fleet.exec({3, 0}, "h0", call_of("000000000000000b"), Millis(5000));
-  CHECK(world.counters.value("hosts.no_link") == 1);  // one to the new process is all that may be
+  CHECK(world.counters.value(core::Counter::hosts_no_link) ==
+        1);  // one to the new process is all that may be
 }
 
 TEST_CASE("a new host at the address of one that is gone is reached over a connection of its own") {
@@ -172,17 +174,21 @@
   };
   tell("h1", pathstack::policy::WorkerState::ready);
   world.fleet.exec({2, 0}, "h1", call_of("000000000000000b"), Millis(5000));
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 1; }, 20000));
-  CHECK(world.counters.value("hosts.links_opened") == 2);
+  REQUIRE(
+      world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 1; }, 20000));
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == 2);
   world.fleet.exec({3, 0}, "h0", call_of("000000000000000c"), Millis(5000));
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 2; }, 20000));
-  CHECK(world.counters.value("hosts.links_opened") == 3);  // nothing new goes over the one to the former host
+  REQUIRE(
+      world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 2; }, 20000));
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) ==
+        3);  // nothing new goes over the one to the former host
   tell("h0", pathstack::policy::WorkerState::gone);
   tell("h1", pathstack::policy::WorkerState::gone);
   tell("h2", pathstack::policy::WorkerState::ready);
   world.fleet.exec({4, 0}, "h2", call_of("000000000000000d"), Millis(5000));
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.answers.data") == 3; }, 20000));
-  CHECK(world.counters.value("hosts.links_opened") == 4);
+  REQUIRE(
+      world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 3; }, 20000));
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == 4);
 }
 
 // Failure found in review: an order was counted when it was decided, and written after calls had left the
@@ -207,7 +213,7 @@
   while (window_passes && world.loop.now() < until) {}  // the connection is not up before the next turn
   REQUIRE(world.turn_until([&] { return front.verdicts.size() == 1; }, 20000));
   CHECK(world.host[0]->orders == (window_passes ? 0 : 1));
-  CHECK(world.counters.value("guard.load_stopped") == (window_passes ? 1 : 0));
+  CHECK(world.counters.value(core::Counter::guard_load_stopped) == (window_passes ? 1 : 0));
 }
 
 }  // namespace
--- a/tests/invoker/platform_test.cpp
+++ b/tests/invoker/platform_test.cpp
@@ -99,14 +99,14 @@
       REQUIRE(c.answer(tag) != nullptr);
       CHECK(c.answer(tag)->at(1) == "FAILED");
     }
-    CHECK(p.world.counters.value("resp.unknown_verb") == 1);
+    CHECK(p.world.counters.value(core::Counter::resp_unknown_verb) == 1);
   }
   SECTION("the 33rd open call is refused") {
     p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
     for (int i = 1; i <= 33; ++i) c.call(std::to_string(i), "bin-check", std::to_string(i));
     REQUIRE(c.answer("33") != nullptr);
     CHECK(c.answer("33")->at(1) == "BUSY");
-    CHECK(p.world.counters.value("resp.too_many_open") == 1);
+    CHECK(p.world.counters.value(core::Counter::resp_too_many_open) == 1);
   }
   SECTION("a repeated tag, a missing tag or an oversized word closes the connection") {
     const auto which = GENERATE(0, 1, 2);
@@ -115,9 +115,9 @@
     if (which == 1) c.say({"CALL", "0"});
     if (which == 2) c.say({"CALL", "1", std::string(20000, 'x')});
     CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
-    CHECK(p.world.counters.value(which < 1    ? "resp.tag_repeated"
-                                 : which == 1 ? "resp.no_tag"
-                                              : "resp.malformed") == 1);
+    CHECK(p.world.counters.value(which < 1    ? core::Counter::resp_tag_repeated
+                                 : which == 1 ? core::Counter::resp_no_tag
+                                              : core::Counter::resp_malformed) == 1);
   }
 }
 
@@ -216,7 +216,7 @@
   CHECK(*c.answer("1") == resp::Words{"1", "BUSY"});
   CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
   CHECK_FALSE((a.closed || b.closed));
-  CHECK(p.world.counters.value("resp.no_place") == 1);
+  CHECK(p.world.counters.value(core::Counter::resp_no_place) == 1);
   CHECK(p.world.host[0]->execs == 2);
 }
 
@@ -231,8 +231,8 @@
   later.write("*3\r\n$5\r\nCHE");
   CHECK(p.world.turn_until([&] { return silent.closed && half.closed && later.closed; }, 20000));
   CHECK_FALSE(usual.closed);
-  CHECK(p.world.counters.value("resp.no_request") == 2);
-  CHECK(p.world.counters.value("resp.half_request") == 1);
+  CHECK(p.world.counters.value(core::Counter::resp_no_request) == 2);
+  CHECK(p.world.counters.value(core::Counter::resp_half_request) == 1);
 }
 
 // Failure found in review: half a request that stood for 2 s ended the calls open on its connection.
@@ -245,7 +245,8 @@
   c.call("1", "bin-check", "x", 600);
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
   c.write("*3\r\n$5\r\nCHECK\r\n$1\r\n2\r\n$0\r\n");
-  REQUIRE(p.world.turn_until([&] { return p.world.counters.value("resp.half_request") == 1; }, 20000));
+  REQUIRE(p.world.turn_until([&] { return p.world.counters.value(core::Counter::resp_half_request) == 1; },
+                             20000));
   const bool rest_comes = GENERATE(true, false);
   if (rest_comes) {
     c.write("\r\n");
@@ -279,7 +280,8 @@
       call, {"CALL", "2", "bin-check",
              "ref=00000000000000c2,allow=1400,lookup=00000000000000a1,spec=memory_mb:300;lanes:4", "y"});
   c.write(call.substr(0, call.size() - 2));
-  REQUIRE(p.world.turn_until([&] { return p.world.counters.value("resp.half_request") == 1; }, 20000));
+  REQUIRE(p.world.turn_until([&] { return p.world.counters.value(core::Counter::resp_half_request) == 1; },
+                             20000));
   p.world.host[0]->server.peers.front()->write(ref + " data - 1\r\nx\r\n");
   c.write("\r\n");
   REQUIRE(c.answer("2") != nullptr);
@@ -319,7 +321,7 @@
     CHECK(usual.answer(std::to_string(i))->at(1) == "OK");
   }
   CHECK_FALSE(usual.closed);
-  CHECK(p.world.counters.value("resp.unread_closed") == 1);
+  CHECK(p.world.counters.value(core::Counter::resp_unread_closed) == 1);
 }
 
 TEST_CASE("connections by dozens that say nothing cost those that ask no place") {
@@ -336,7 +338,7 @@
   REQUIRE(late.answer("1") != nullptr);
   CHECK(late.answer("1")->at(1) == "OK");
   CHECK_FALSE(usual.closed);
-  CHECK(p.world.counters.value("resp.silent_closed") >= 36);
+  CHECK(p.world.counters.value(core::Counter::resp_silent_closed) >= 36);
 }
 
 TEST_CASE("calls that are taken back in the bytes they came in reach no host") {
@@ -348,7 +350,7 @@
   CHECK(c.answer("20")->at(1) == "OK");
   CHECK(c.got.size() == 1);
   CHECK(p.world.host[0]->runs.size() == 1);
-  CHECK(p.world.counters.value("resp.taken_back") == 19);
+  CHECK(p.world.counters.value(core::Counter::resp_taken_back) == 19);
 }
 
 TEST_CASE("a client that sends the same again whenever it is turned away is closed in the end") {
@@ -359,7 +361,7 @@
     c.answer(std::to_string(i));
   }
   CHECK(c.closed);
-  CHECK(p.world.counters.value("resp.faults_closed") == 1);
+  CHECK(p.world.counters.value(core::Counter::resp_faults_closed) == 1);
 }
 
 TEST_CASE(
@@ -395,15 +397,15 @@
   c.call("2", record ? "bin-record" : "bin-check", "y", 1500);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == (record ? "FAILED" : "OK"));
-  CHECK(p.world.counters.value(kind == Kind::stall     ? "hosts.cut_answers"
-                               : kind == Kind::silence ? "hosts.silent_links"
-                                                       : "hosts.malformed") == 1);
+  CHECK(p.world.counters.value(kind == Kind::stall     ? core::Counter::hosts_cut_answers
+                               : kind == Kind::silence ? core::Counter::hosts_silent_links
+                                                       : core::Counter::hosts_malformed) == 1);
   for (int i = 3; i <= 9; ++i) {
     c.call(std::to_string(i), "bin-record", std::to_string(i));
     REQUIRE(c.answer(std::to_string(i)) != nullptr);
     CHECK(c.answer(std::to_string(i))->at(1) == "OK");
   }
-  CHECK(p.world.counters.value("hosts.links_opened") == 2);
+  CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
 // Failure found (inc142): 1.2 health checks a request were sent, each a probe, of hosts that loaded a copy.
@@ -416,10 +418,10 @@
   c.call("1", "bin-record", "x", 1500);
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "FAILED");
-  const auto checks = p.world.counters.value("hosts.health_checks");
+  const auto checks = p.world.counters.value(core::Counter::hosts_health_checks);
   CHECK(checks >= 1);
   CHECK(checks <= 2);
-  CHECK(p.world.counters.value("hosts.silent_links") == (host.mute ? 1 : 0));
+  CHECK(p.world.counters.value(core::Counter::hosts_silent_links) == (host.mute ? 1 : 0));
 }
 
 // Failure found in review: each health check answered during a load doubled the time to the next for good.
@@ -433,7 +435,7 @@
   const Millis began = world.loop.now();
   REQUIRE(
       world.turn_until([&] { return world.loop.now() - began > limits.order_timeout + Millis(50); }, 20000));
-  CHECK(world.counters.value("hosts.health_checks") >= 2);
+  CHECK(world.counters.value(core::Counter::hosts_health_checks) >= 2);
   world.host[0]->mute = true;
   core::Call call;
   call.ref = "000000000000000a";
@@ -441,7 +443,8 @@
   call.function_name = "00000000000000a1";
   world.fleet.exec({1, 0}, "h0", call, Millis(1000));
   const Millis sent = world.loop.now();
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.silent_links") == 1; }, 20000));
+  REQUIRE(
+      world.turn_until([&] { return world.counters.value(core::Counter::hosts_silent_links) == 1; }, 20000));
   CHECK((world.loop.now() - sent).count() < 1500);
 }
 
@@ -459,7 +462,7 @@
   const Millis began = world.loop.now();
   REQUIRE(world.turn_until([&] { return world.loop.now() - began > Millis(700); }, 20000));
   CHECK(world.host[0]->execs == 1);
-  CHECK(world.counters.value("hosts.health_checks") == 0);
+  CHECK(world.counters.value(core::Counter::hosts_health_checks) == 0);
 }
 
 TEST_CASE("an answer that brings more than belongs to it is taken; nothing new goes over its connection") {
@@ -478,8 +481,8 @@
   REQUIRE(c.answer("2") != nullptr);
   CHECK(*c.answer("2") == resp::Words{"2", "OK", "", "y"});
   CHECK(execs == (word == "full" ? 3 : 2));
-  CHECK(p.world.counters.value("hosts.surplus_answers") == 1);
-  CHECK(p.world.counters.value("hosts.links_opened") == 2);
+  CHECK(p.world.counters.value(core::Counter::hosts_surplus_answers) == 1);
+  CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
 TEST_CASE("a refused connect proves that nothing ran: a bin-record goes on to another host") {
@@ -491,7 +494,7 @@
     REQUIRE(c.answer(std::to_string(i)) != nullptr);
     CHECK(c.answer(std::to_string(i))->at(1) == "OK");
   }
-  CHECK(p.world.counters.value("hosts.links_refused") >= 1);
+  CHECK(p.world.counters.value(core::Counter::hosts_links_refused) >= 1);
 }
 
 TEST_CASE("a host told draining gets nothing new, and its open calls end there") {
@@ -524,7 +527,7 @@
   }
   REQUIRE(world.turn_until([&] { return world.host[0]->execs >= 12; }, 200));
   CHECK(world.host[0]->execs == 12);
-  CHECK(world.counters.value("hosts.no_link") == 8);
+  CHECK(world.counters.value(core::Counter::hosts_no_link) == 8);
 }
 
 // Failure found in review: connections to hosts used a while ago kept all other hosts from being reached.
@@ -539,8 +542,9 @@
     call.class_name = "bin-check";
     call.function_name = "00000000000000a1";
     world.fleet.exec({calls, 0}, "h" + std::to_string(host), call, Millis(1000));
-    const auto answers = world.counters.value("hosts.answers.data");
-    return world.turn_until([&] { return world.counters.value("hosts.answers.data") > answers; }, 30);
+    const auto answers = world.counters.value(core::Counter::hosts_answers_data);
+    return world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) > answers; },
+                            30);
   };
   CHECK((run(0) && run(1) && run(2)));
   world.host[1]->react = world.host[2]->react = [](const std::string&) {
@@ -548,7 +552,7 @@
   };
   CHECK_FALSE((run(1) || run(2)));  // both are in use now: neither may be ended
   CHECK_FALSE(run(3));
-  CHECK(world.counters.value("hosts.no_link") == 1);
+  CHECK(world.counters.value(core::Counter::hosts_no_link) == 1);
   CHECK((world.host[1]->execs == 2 && world.host[2]->execs == 2 && world.host[3]->execs == 0));
 }
 
@@ -575,7 +579,7 @@
   tell(pathstack::policy::WorkerState::ready);
   exec(0xa, 32U << 20);  // more than the kernel takes for a peer that does not read
   exec(0xb, 1);
-  REQUIRE(world.turn_until([&] { return world.counters.value("hosts.links_up") == 1; }, 20000));
+  REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_up) == 1; }, 20000));
   const net::Socket peer = net::accept_from(listener).socket;
   REQUIRE(static_cast<bool>(peer));
   world.turn();
@@ -622,7 +626,7 @@
   while (world.loop.now() < due) {}  // both timers ring in one turn, the connection's first
   REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 2; }, 20000));
   CHECK(desk.verdicts[1] == core::Verdict::served);
-  CHECK(world.counters.value("hosts.links_opened") == 2);
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
 TEST_CASE("a host reborn at its old address is reached over a new connection") {
@@ -630,12 +634,12 @@
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  const auto opened = p.world.counters.value("hosts.links_opened");
+  const auto opened = p.world.counters.value(core::Counter::hosts_links_opened);
   p.world.tell(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
-  CHECK(p.world.counters.value("hosts.links_opened") == opened + 1);
+  CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == opened + 1);
 }
 
 TEST_CASE("a host that answers nothing: the call is failed at its deadline and the next one asks anew") {
@@ -645,7 +649,8 @@
   c.call("1", "bin-record", "x", 600);
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "FAILED");
-  CHECK(p.world.turn_until([&] { return p.world.counters.value("hosts.links_ended") == 1; }, 20000));
+  CHECK(p.world.turn_until([&] { return p.world.counters.value(core::Counter::hosts_links_ended) == 1; },
+                           20000));
 }
 
 }  // namespace
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -27,7 +27,7 @@
   Triggers t(1);
   t.broker.chaos.nack = 1000;
   t.broker.send("a", "bin-check", "x");
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value("amqp.nacked") > 0; }, 20000));
+  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_nacked) > 0; }, 20000));
   CHECK(t.broker.acked == 0);
   t.broker.chaos.nack = 0;
   REQUIRE(t.settled());
@@ -150,7 +150,8 @@
   word = "data";
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.answered("a", 2));
-  CHECK(t.world.counters.value("amqp.down") == 0);  // on this channel, not by a redelivery on the next one
+  CHECK(t.world.counters.value(core::Counter::amqp_down) ==
+        0);  // on this channel, not by a redelivery on the next one
   CHECK(word_of(t.broker.held["c-a"][1]) == "OK");
   CHECK(t.world.host[0]->runs["x"] == 1);
 }
@@ -160,7 +161,7 @@
   Triggers t(1);
   t.broker.send("a", "bin-record", "x");
   t.front->drain();
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value("amqp.down") == 1; }, 200));
+  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_down) == 1; }, 200));
   for (int i = 0; i < 20; ++i) t.world.turn();
   CHECK(t.world.host[0]->execs == 0);
   CHECK(t.broker.queue.size() == 1);
@@ -175,14 +176,14 @@
   } else {
     t.broker.missing_queues = 2;
   }
-  const char* const counter = silent ? "amqp.quiet" : "amqp.channel_closed";
+  const core::Counter counter = silent ? core::Counter::amqp_quiet : core::Counter::amqp_channel_closed;
   REQUIRE(t.world.turn_until([&] { return t.world.counters.value(counter) > 0; }, 20000));
   t.broker.heartbeat_s = 0;
   // Sent only once the old connection has gone at both ends: a delivery that it lost would come as
   // redelivered.
   const std::uint64_t ups = silent ? 2 : 1;
   const auto anew = [&] {
-    return t.world.counters.value("amqp.up") >= ups && t.broker.server.peers.size() == 1;
+    return t.world.counters.value(core::Counter::amqp_up) >= ups && t.broker.server.peers.size() == 1;
   };
   REQUIRE(t.world.turn_until(anew, 20000));
   t.broker.send("a", "bin-record", "x");
