--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -67,6 +67,7 @@
 constexpr double kLateKept = 0.5;    // a late answer worth this part or more is waited for
 constexpr int kAlikeMost = 20;       // after so many others in a row first tries have a new time
 constexpr int kProbesLost = 3;       // so many failed probes on end, and no answer, count as a loss
+constexpr Millis kFirstLists{250};   // lists this close to the first one after a start tell of earlier starts
 constexpr Millis kNever{-1e15};      // before any time of any clock
 
 // ---- State ---------------------------------------------------------------------------------------------
@@ -167,7 +168,7 @@
 
  private:
   Settings s_;
-  Millis now_{kNever}, use_sampled_{kNever};
+  Millis now_{kNever}, use_sampled_{kNever}, first_list_at_{kNever};
   std::vector<Action>* out_ = nullptr;
   std::map<std::string, double> tally_;
   bool live_ = false, reports_queue_ = false;
@@ -402,7 +403,7 @@
       watch_at_ = now_ + kEjectFirst;
       return;
     }
-    ++list_version_;
+    if (list_version_++ == 0) first_list_at_ = now_;
     for (const auto& entry : e.entries) {
       const bool reused = !free_places_.empty();
       const int next = reused ? free_places_.back() : static_cast<int>(workers_.size());
@@ -442,10 +443,13 @@
     if (!(w.weight > 0)) w.weight = 1;
   }
 
-  // A start that a later list tells of lies between the list before and now, whatever its stamp: it counts
+  // A start that a live list tells of lies between the list before and now, whatever its stamp: it counts
   // from now, the latest that it can be, so that a worker is never taken for warmer than it is. Of the starts
-  // in the first list only the stamp is known; one ahead of the local clock counts as now.
-  Millis start_time(Millis stamp) const { return list_version_ == 1 ? std::min(stamp, now_) : now_; }
+  // in the invoker's own first lists (what it knows at its start, and what it is told at once) only the
+  // stamps are known; one ahead of the local clock counts as now.
+  Millis start_time(Millis stamp) const {
+    return now_ - first_list_at_ <= kFirstLists ? std::min(stamp, now_) : now_;
+  }
 
   // ---- Places ------------------------------------------------------------------------------------------
   // Rendezvous hashing: all routers agree on a function's few workers; each has an order of its own in them.
--- a/tests/policy_clock_test.cpp
+++ b/tests/policy_clock_test.cpp
@@ -99,6 +99,18 @@
   EXPECT_GE(sent_within(r, 3, "x"), 28U);
 }
 
+// Failure found in review: an invoker is started with all events so far, one list each; those after the first
+// made every worker that had ever restarted look as if it did so just now.
+TEST(SteppedClock, StartsInTheEventsKnownAtTheStartCountByTheirStamps) {
+  Settings s = settings();
+  s.miss_is_answered = true;
+  Router r(s);
+  r.now = Millis(100000);
+  r.list({entry("a")}, ListKind::cached);
+  r.list({entry("a", WorkerState::ready, 20000)}, ListKind::delta);
+  EXPECT_GE(sent_within(r, 3, "x"), 28U);
+}
+
 TEST(SteppedClock, AnEntryWithoutAStampOrWithTheSameOneIsNoRestart) {
   Settings s = settings();
   s.miss_is_answered = true;
