--- a/tests/invoker/support/stand_in_broker.h
+++ b/tests/invoker/support/stand_in_broker.h
@@ -51,6 +51,7 @@
     std::uint64_t left_ = 0;
 
     void received(std::string_view bytes) override {
+      broker_.received_bytes += bytes;
       const std::size_t part = std::min(8 - greeting_.size(), bytes.size());
       if (part > 0) greeting_.append(bytes.substr(0, part));
       bytes.remove_prefix(part);
@@ -140,6 +141,7 @@
   std::deque<Message> queue;
   std::vector<Message> answers;                      // every publishing that arrived
   std::map<std::string, std::vector<Message>> held;  // answers by correlation id
+  std::string received_bytes;                        // from all peers, as they came
   std::size_t acked = 0, rejected = 0, dropped = 0;
   std::uint16_t heartbeat_s = 0;  // this broker sends no heartbeats, whatever it agreed to
   int missing_queues = 0;
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -2,6 +2,7 @@
 #include "triggers.h"
 
 #include <cstdlib>
+#include <iomanip>
 #include <iostream>
 #include <sstream>
 
@@ -23,6 +24,65 @@
   CHECK(t.broker.acked == 1);
 }
 
+std::string hex_of(std::string_view bytes) {
+  std::ostringstream out;
+  for (const char c : bytes) {
+    out << std::hex << std::setw(2) << std::setfill('0')
+        << static_cast<unsigned>(static_cast<std::uint8_t>(c));
+  }
+  return out.str();
+}
+
+// The greeting, then each frame with its header and end octet.
+std::vector<std::string> frames_in_hex(std::string_view bytes) {
+  constexpr std::size_t kGreetingSize = 8, kFrameHeaderSize = 7;
+  std::vector<std::string> out = {hex_of(bytes.substr(0, kGreetingSize))};
+  bytes.remove_prefix(std::min(kGreetingSize, bytes.size()));
+  while (bytes.size() > kFrameHeaderSize) {
+    const std::size_t payload = amqp::Reader(bytes.substr(3, 4)).u32();
+    const std::string_view frame = bytes.substr(0, kFrameHeaderSize + payload + 1);
+    out.push_back(hex_of(frame));
+    bytes.remove_prefix(frame.size());
+  }
+  return out;
+}
+
+// Brokers see the product name and the consumer tags; neither they nor anything else may change unnoticed.
+TEST_CASE("the frames of a session stand byte for byte") {
+  Triggers t(1);
+  t.broker.send("a", "bin-check", "x");
+  REQUIRE(t.answered("a"));
+  t.broker.put({{}, "no reply queue", false});
+  REQUIRE(t.world.turn_until([&] { return t.broker.rejected == 1; }, 20000));
+  REQUIRE(t.settled());
+  t.front->drain();
+  t.front->close();
+  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_down) == 1; }, 20000));
+  const std::vector<std::string> expected = {
+      "414d515000000901",  // the protocol header
+      // connection.start-ok, with the product name "lotusyard"
+      "0100000000003a000a000b000000160770726f6475637453000000096c6f747573796172640"
+      "5504c41494e0000000c00677565737400677565737405656e5f5553ce",
+      "0100000000000c000a001f000a00001000000ace",                                    // connection.tune-ok
+      "01000000000008000a0028012f0000ce",                                            // connection.open
+      "08000000000000ce",                                                            // heartbeat
+      "010001000000050014000a00ce",                                                  // channel.open
+      "010001000000050055000a00ce",                                                  // confirm.select
+      "0100010000000b003c000a00000000001000ce",                                      // basic.qos
+      "0100010000001d003c001400000563616c6c730b6c6f747573796172642d300000000000ce",  // basic.consume
+      "01000100000010003c002800000007616e737765727301ce",                            // basic.publish
+      // content header, then body
+      "0200010000003e003c00000000000000000001b480186170706c69636174696f6e2f6f63746"
+      "5742d73747265616d0000000c04776f726453000000024f4b0203632d610161ce",
+      "0300010000000178ce",
+      "0100010000000d003c0050000000000000000100ce",           // basic.ack
+      "0100010000000d003c005a000000000000000200ce",           // basic.reject
+      "01000100000011003c001e0b6c6f747573796172642d3000ce",   // basic.cancel
+      "01000000000012000a003200c807676f6f6462796500000000ce"  // connection.close
+  };
+  CHECK(frames_in_hex(t.broker.received_bytes) == expected);
+}
+
 TEST_CASE("a nacked answer is published again and acknowledged only then") {
   Triggers t(1);
   t.broker.chaos.nack = 1000;
