--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,8 +1,9 @@
-#include "wire.h"
-
 #include <gtest/gtest.h>
 
-namespace pathstack::policy::simulator_adapter {
+#include "config/settings.h"
+#include "simulator_adapter/adapter.h"
+
+namespace pathstack::simulator_adapter {
 namespace {
 
 const char* const kInit =
@@ -17,15 +18,15 @@
 }
 
 TEST(Wire, AnswersAnEmptyBatch) {
-  Host host;
-  EXPECT_EQ(host.reply(R"({"Time":1,"n":7,"routers":[]})"), R"({"n":7,"routers":[]})");
+  Adapter adapter;
+  EXPECT_EQ(adapter.reply(R"({"Time":1,"n":7,"routers":[]})"), R"({"n":7,"routers":[]})");
 }
 
 TEST(Wire, CarriesARequestToAWorkerAndBack) {
-  Host host;
-  host.reply(kInit);
+  Adapter adapter;
+  adapter.reply(kInit);
   const auto out = nlohmann::json::parse(
-      host.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
+      adapter.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
   const auto& cmds = out["routers"][0]["cmds"];
   ASSERT_EQ(cmds.size(), 2U);
   EXPECT_EQ(cmds[0][0], "Timer");
@@ -33,18 +34,18 @@
 }
 
 TEST(Wire, PassesOverTheUnknownAndTheEnded) {
-  Host host;
-  host.reply(kInit);
-  const auto out = host.reply(
+  Adapter adapter;
+  adapter.reply(kInit);
+  const auto out = adapter.reply(
       batch(R"(["Novelty",1],["Ring",99],["Gone","t/none"],["BroughtUp","x:1",3,"GOOD",1,1],)"
             R"(["Result","t/none",null,"GOOD",true,1,0,"h:1",null],["Sampled","GOOD",1,"q:9",[1]])"));
   EXPECT_EQ(out, R"({"n":2,"routers":[]})");
 }
 
 TEST(Wire, InstancesShareNothing) {
-  Host host;
-  host.reply(kInit);
-  const auto out = host.reply(
+  Adapter adapter;
+  adapter.reply(kInit);
+  const auto out = adapter.reply(
       R"({"Time":1010,"n":2,"routers":[{"Router":"router_1","inbox":[["Order","t/b","c",null,null,0,1,2,null,9,1]]}]})");
   EXPECT_EQ(out, R"({"n":2,"routers":[]})");
 }
@@ -56,17 +57,19 @@
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[5]}]})",
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",99,[]]]}]})",
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",0,[[5]]]]}]})"}) {
-    Host host;
-    EXPECT_THROW(host.reply(line), WireError) << line;
+    Adapter adapter;
+    EXPECT_THROW(adapter.reply(line), WireError) << line;
   }
 }
 
 TEST(Wire, ReadsSettingsWithTheirPlainMeanings) {
-  const auto s = read_settings(nlohmann::json::parse(R"({"LoadInfo":{"How":"pull","Fields":["queue","new"]},
+  const auto s =
+      config::read_settings(nlohmann::json::parse(R"({"LoadInfo":{"How":"pull","Fields":["queue","new"]},
       "Kinds":["p","q"],"FamilyInfo":{"MemoryMbByKind":[5,6]},"RegistryMode":"ask"})"),
-                               3);
-  EXPECT_EQ(s.reports, ReportMode::probe);
-  EXPECT_EQ(s.report_fields, (std::vector<ReportField>{ReportField::queue, ReportField::other}));
+                            3);
+  EXPECT_EQ(s.reports, policy::ReportMode::probe);
+  EXPECT_EQ(s.report_fields,
+            (std::vector<policy::ReportField>{policy::ReportField::queue, policy::ReportField::other}));
   EXPECT_EQ(s.kind_memory_mb.at("q"), 6);
   EXPECT_TRUE(s.ask_list);
   EXPECT_EQ(s.routers, 1);
@@ -74,4 +77,4 @@
 }
 
 }  // namespace
-}  // namespace pathstack::policy::simulator_adapter
+}  // namespace pathstack::simulator_adapter
