--- a/tests/replay/fleet_simulation.h
+++ b/tests/replay/fleet_simulation.h
@@ -15,8 +15,8 @@
 
 #include "day_plan.h"
 #include "random.h"
+#include "simulator_adapter/adapter.h"
 #include "summary.h"
-#include "wire.h"
 
 namespace pathstack::policy::replay {
 
@@ -71,7 +71,7 @@
 
   DayPlan plan_;
   Random random_;
-  simulator_adapter::Host host_;
+  simulator_adapter::Adapter adapter_;
   Micros now_ = 0;
   int round_ = 0, next_request_ = 0, next_worker_ = 0, next_page_ = 0, list_generation_ = 0;
   std::vector<Worker> workers_;
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -80,10 +80,10 @@
   const std::string record_folder = folder_of_variable("REPLAY_RECORD");
   std::ofstream recorded;
   if (!record_folder.empty()) recorded.open(record_folder + "/" + GetParam() + ".replies");
-  simulator_adapter::Host host;
+  simulator_adapter::Adapter adapter;
   int different = 0;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
-    const std::string reply = host.reply(rounds[i]);
+    const std::string reply = adapter.reply(rounds[i]);
     if (recorded.is_open()) recorded << reply << '\n';
     if (reply == expected[i]) continue;
     if (++different == 1) ADD_FAILURE() << "round " << i << ": " << reply << "\nexpected: " << expected[i];
