--- a/src/amqp/call_codec.cpp
+++ b/src/amqp/call_codec.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kClassHeader = "class";
 constexpr const char* kTenantHeader = "project";
 constexpr const char* kFunctionHeader = "lookup";    // 16 hex digits
-constexpr const char* kEffortHeader = "effort";      // the expected work; as the class measures it
+constexpr const char* kEffortHeader = "effort";      // the caller's estimate of the work
 constexpr const char* kMemoryHeader = "memory_mb";   // of an instance of the function
 constexpr const char* kConcurrencyHeader = "lanes";  // concurrency slots of an instance
 constexpr const char* kTimeoutHeader = "allow";      // milliseconds
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -34,8 +34,8 @@
 
 /// In one line; bytes that are no UTF-8 are replaced.
 std::string to_line(const json& value) {
-  constexpr int kNoIndent = -1;
-  return value.dump(kNoIndent, ' ', false, json::error_handler_t::replace);
+  constexpr int no_indent = -1;
+  return value.dump(no_indent, ' ', false, json::error_handler_t::replace);
 }
 
 }  // namespace
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -27,13 +27,15 @@
 constexpr int kWarmthMask = 7;
 constexpr int kCrowdShift = 3;
 
+constexpr int kReadyState = 2;  // of a list entry, also where none is given
+
 policy::Outcome decode_outcome(const json& value) {
   using policy::Outcome;
-  static const std::map<std::string, Outcome> words = {
+  static const std::map<std::string, Outcome> kWords = {
       {"GOOD", Outcome::ok},      {"BAD", Outcome::error}, {"FULL", Outcome::full},
       {"LATE", Outcome::timeout}, {"RST", Outcome::reset}, {"NOCONN", Outcome::connect_failed},
       {"NOP", Outcome::moot},     {"MISS", Outcome::miss}, {"CXL", Outcome::cancelled}};
-  return config::word(text(value), words, Outcome::error);
+  return config::word(text(value), kWords, Outcome::error);
 }
 
 policy::Warmth decode_warmth(int remark) {
@@ -51,8 +53,7 @@
 }
 
 policy::WorkerState decode_worker_state(const json& value) {
-  constexpr int kReady = 2;
-  switch (whole(value, kReady)) {
+  switch (whole(value, kReadyState)) {
     case 0: return policy::WorkerState::gone;
     case 1: return policy::WorkerState::draining;
     default: return policy::WorkerState::ready;
@@ -160,11 +161,11 @@
 
 /// The decoders by the names of their messages; `Discovery` is read apart, as it needs the catalog.
 const std::map<std::string, Decoder>& decoders() {
-  static const std::map<std::string, Decoder> by_name = {
+  static const std::map<std::string, Decoder> kByName = {
       {"Order", decode_request},    {"Result", decode_answer}, {"Ring", decode_timer},
       {"BroughtUp", decode_loaded}, {"Gone", decode_left},     {"HeadReceived", decode_stream_began},
       {"Sampled", decode_probed},   {"Heard", decode_peer},    {"PowerOff", decode_stop}};
-  return by_name;
+  return kByName;
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/invoker/amqp_channel_parts_test.cpp
@@ -0,0 +1,138 @@
+// The parts of an AMQP channel, each alone: set-up of the connection and assembly of contents.
+#include <catch2/catch.hpp>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "amqp/connection_setup.h"
+#include "amqp/content_assembler.h"
+
+namespace pathstack::test {
+namespace {
+
+using amqp::ArgumentReader;
+using amqp::ArgumentWriter;
+using amqp::ContentAssembler;
+using amqp::DeliveryTag;
+using amqp::FrameType;
+using amqp::Method;
+using core::Counter;
+using Failure = std::optional<Counter>;
+
+class RecordingSink final : public amqp::MethodSink {
+ public:
+  void write_method(Method method, std::uint16_t /*channel*/, const ArgumentWriter& arguments) override {
+    methods.push_back(method);
+    last_arguments = arguments.bytes();
+  }
+  std::vector<Method> methods;
+  std::string last_arguments;
+};
+
+/// Hands the set-up one method from the broker.
+Failure handle(amqp::ConnectionSetup& setup, Method method, const ArgumentWriter& arguments = {}) {
+  ArgumentReader reader(arguments.bytes());
+  return setup.handle(method, reader);
+}
+
+ArgumentWriter start_offering(const std::string& mechanisms) {
+  ArgumentWriter start;
+  start.u8(0).u8(9).table({}).long_string(mechanisms).long_string("en_US");
+  return start;
+}
+
+ArgumentWriter tune(std::uint32_t frame_size, std::uint16_t heartbeat_s) {
+  ArgumentWriter out;
+  out.u16(0).u32(frame_size).u16(heartbeat_s);
+  return out;
+}
+
+amqp::BrokerSettings two_queues() {
+  amqp::BrokerSettings broker;
+  broker.queues = {"a", "b"};
+  return broker;
+}
+
+amqp::Frame header_frame(std::uint64_t body_size) {
+  return {FrameType::header, amqp::kChannel, amqp::encode_content_header(body_size, {})};
+}
+
+amqp::Frame body_frame(const std::string& body) { return {FrameType::body, amqp::kChannel, body}; }
+
+TEST_CASE("the set-up of an AMQP connection is complete once every consumer runs") {
+  const amqp::BrokerSettings broker = two_queues();
+  RecordingSink sink;
+  amqp::ConnectionSetup setup(broker, sink);
+  CHECK(handle(setup, Method::connection_start, start_offering("AMQPLAIN PLAIN")) == std::nullopt);
+  CHECK(handle(setup, Method::connection_tune, tune(0, 4)) == std::nullopt);
+  CHECK(setup.tuning().max_frame_size == 128 * 1024);
+  CHECK(setup.tuning().heartbeat == std::chrono::seconds(4));
+  for (const Method method : {Method::connection_open_ok, Method::channel_open_ok, Method::confirm_select_ok,
+                              Method::basic_qos_ok, Method::basic_consume_ok}) {
+    CHECK(handle(setup, method) == std::nullopt);
+  }
+  CHECK_FALSE(setup.complete());
+  CHECK(handle(setup, Method::basic_consume_ok) == std::nullopt);
+  CHECK(setup.complete());
+  CHECK(sink.methods == std::vector<Method>{Method::connection_start_ok, Method::connection_tune_ok,
+                                            Method::connection_open, Method::channel_open,
+                                            Method::confirm_select, Method::basic_qos, Method::basic_consume,
+                                            Method::basic_consume});
+}
+
+TEST_CASE("the set-up of an AMQP connection names why it fails") {
+  const amqp::BrokerSettings broker = two_queues();
+  RecordingSink sink;
+  amqp::ConnectionSetup setup(broker, sink);
+  CHECK(handle(setup, Method::connection_open_ok) == Counter::amqp_out_of_order);
+  CHECK(handle(setup, Method::connection_start, start_offering("EXTERNAL")) == Counter::amqp_no_plain_login);
+  CHECK(handle(setup, Method::connection_tune, tune(amqp::kMinFrameSize - 1, 0)) ==
+        Counter::amqp_frames_too_small);
+  CHECK(handle(setup, Method::connection_start) == Counter::amqp_out_of_order);
+  CHECK(sink.methods.empty());
+}
+
+TEST_CASE("a delivery is complete with the last byte of its body") {
+  ContentAssembler content(8);
+  content.begin_delivery(DeliveryTag{7}, true);
+  CHECK(content.take(header_frame(5)) == std::nullopt);
+  CHECK(content.take(body_frame("abc")) == std::nullopt);
+  CHECK(content.in_progress());
+  CHECK_FALSE(content.take_delivery());
+  CHECK(content.take(body_frame("de")) == std::nullopt);
+  CHECK_FALSE(content.in_progress());
+  const auto delivery = content.take_delivery();
+  REQUIRE(delivery);
+  CHECK(delivery->tag == DeliveryTag{7});
+  CHECK(delivery->redelivered);
+  CHECK(delivery->body == "abcde");
+  CHECK_FALSE(content.take_delivery());
+}
+
+TEST_CASE("a body over the limit is not kept, and a returned message is no delivery") {
+  ContentAssembler content(2);
+  content.begin_delivery(DeliveryTag{1}, false);
+  CHECK(content.take(header_frame(3)) == std::nullopt);
+  CHECK(content.take(body_frame("abc")) == std::nullopt);
+  const auto delivery = content.take_delivery();
+  REQUIRE(delivery);
+  CHECK(delivery->oversized);
+  CHECK(delivery->body.empty());
+  content.begin_return();
+  CHECK(content.take(header_frame(0)) == std::nullopt);
+  CHECK_FALSE(content.in_progress());
+  CHECK_FALSE(content.take_delivery());
+}
+
+TEST_CASE("content frames out of place end the connection, each under its reason") {
+  ContentAssembler content(8);
+  CHECK(content.take(header_frame(1)) == Counter::amqp_stray_content);
+  content.begin_delivery(DeliveryTag{1}, false);
+  CHECK(content.take(body_frame("a")) == Counter::amqp_malformed);
+  CHECK(content.take(header_frame(1)) == std::nullopt);
+  CHECK(content.take(header_frame(1)) == Counter::amqp_malformed);
+  CHECK(content.take(body_frame("ab")) == Counter::amqp_malformed);
+}
+
+}  // namespace
+}  // namespace pathstack::test
--- a/tests/invoker/support/stand_in_broker.h
+++ b/tests/invoker/support/stand_in_broker.h
@@ -135,9 +135,9 @@
     }
 
     void write_tune() {
-      constexpr std::uint16_t kMaxChannels = 10;
+      constexpr std::uint16_t max_channels = 10;
       amqp::ArgumentWriter tune;
-      tune.u16(kMaxChannels).u32(amqp::kMinFrameSize).u16(broker_.heartbeat_s);
+      tune.u16(max_channels).u32(amqp::kMinFrameSize).u16(broker_.heartbeat_s);
       write_method(amqp::Method::connection_tune, amqp::kConnectionChannel, tune);
     }
 
@@ -287,7 +287,7 @@
   }
 
   void write_delivery(Peer& peer, const Message& message) {
-    constexpr std::size_t kBodyFrameSize = 4000;
+    constexpr std::size_t body_frame_size = 4000;
     ++peer.last_delivery_tag;
     amqp::ArgumentWriter deliver;
     deliver.short_string("t");  // the consumer tag
@@ -299,8 +299,8 @@
     const std::string header = amqp::encode_content_header(message.body.size(), message.properties);
     peer.write(amqp::encode_frame(amqp::FrameType::header, amqp::kChannel, header));
     const std::string_view body = message.body;
-    for (std::size_t at = 0; at < body.size(); at += kBodyFrameSize) {
-      const std::string_view part = body.substr(at, kBodyFrameSize);
+    for (std::size_t at = 0; at < body.size(); at += body_frame_size) {
+      const std::string_view part = body.substr(at, body_frame_size);
       peer.write(amqp::encode_frame(amqp::FrameType::body, amqp::kChannel, part));
     }
   }
--- a/tests/invoker/triggers.h
+++ b/tests/invoker/triggers.h
@@ -29,15 +29,15 @@
 
   /// Runs the loop until so many answers came to the call; false if they don't come within the limit.
   bool answered(const std::string& id, std::size_t times = 1) {
-    constexpr int kMaxTurns = 20000;
-    return world.turn_until([&] { return broker.answers_to(id).size() >= times; }, kMaxTurns);
+    constexpr int max_turns = 20000;
+    return world.turn_until([&] { return broker.answers_to(id).size() >= times; }, max_turns);
   }
 
   /// Runs the loop until nothing is open at broker or front; false if that doesn't come within the limit.
   bool settled() {
-    constexpr int kMaxTurns = 200000;
+    constexpr int max_turns = 200000;
     return world.turn_until([&] { return broker.queue.empty() && unacked() == 0 && front->done(); },
-                            kMaxTurns);
+                            max_turns);
   }
 
   /// The deliveries that are not acknowledged, over all connections.
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -37,12 +37,12 @@
 
 // The greeting, then each frame with its header and end octet.
 std::vector<std::string> frames_in_hex(std::string_view bytes) {
-  constexpr std::size_t kGreetingSize = 8, kFrameHeaderSize = 7;
-  std::vector<std::string> out = {hex_of(bytes.substr(0, kGreetingSize))};
-  bytes.remove_prefix(std::min(kGreetingSize, bytes.size()));
-  while (bytes.size() > kFrameHeaderSize) {
+  constexpr std::size_t greeting_size = 8, frame_header_size = 7;
+  std::vector<std::string> out = {hex_of(bytes.substr(0, greeting_size))};
+  bytes.remove_prefix(std::min(greeting_size, bytes.size()));
+  while (bytes.size() > frame_header_size) {
     const std::size_t payload = amqp::ArgumentReader(bytes.substr(3, 4)).u32();
-    const std::string_view frame = bytes.substr(0, kFrameHeaderSize + payload + 1);
+    const std::string_view frame = bytes.substr(0, frame_header_size + payload + 1);
     out.push_back(hex_of(frame));
     bytes.remove_prefix(frame.size());
   }
@@ -63,8 +63,8 @@
   const std::vector<std::string> expected = {
       "414d515000000901",  // the protocol header
       // connection.start-ok, with the product name "lotusyard"
-      "0100000000003a000a000b000000160770726f6475637453000000096c6f747573796172640"
-      "5504c41494e0000000c00677565737400677565737405656e5f5553ce",
+      ("0100000000003a000a000b000000160770726f6475637453000000096c6f747573796172640"
+       "5504c41494e0000000c00677565737400677565737405656e5f5553ce"),
       "0100000000000c000a001f000a00001000000ace",                                    // connection.tune-ok
       "01000000000008000a0028012f0000ce",                                            // connection.open
       "08000000000000ce",                                                            // heartbeat
@@ -74,8 +74,8 @@
       "0100010000001d003c001400000563616c6c730b6c6f747573796172642d300000000000ce",  // basic.consume
       "01000100000010003c002800000007616e737765727301ce",                            // basic.publish
       // content header, then body
-      "0200010000003e003c00000000000000000001b480186170706c69636174696f6e2f6f63746"
-      "5742d73747265616d0000000c04776f726453000000024f4b0203632d610161ce",
+      ("0200010000003e003c00000000000000000001b480186170706c69636174696f6e2f6f63746"
+       "5742d73747265616d0000000c04776f726453000000024f4b0203632d610161ce"),
       "0300010000000178ce",
       "0100010000000d003c0050000000000000000100ce",           // basic.ack
       "0100010000000d003c005a000000000000000200ce",           // basic.reject
@@ -176,26 +176,36 @@
   CHECK(status_of(t.broker.answers_to("a")[0]) == "OK");
 }
 
+/// The call of the broker's last answer, delivered again.
+StandInBroker::Message redelivery_of_last_call(const StandInBroker& broker) {
+  StandInBroker::Message message;
+  message.properties = broker.answers.back().properties;
+  message.properties.reply_to = "answers";
+  message.redelivered = true;
+  return message;
+}
+
 TEST_CASE("an answer already confirmed is not sent twice when only the ack was lost") {
   Triggers t(1);
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.answered("a"));
   REQUIRE(t.settled());
-  StandInBroker::Message again;
-  again.properties = t.broker.answers[0].properties;
-  again.properties.reply_to = "answers";
-  again.redelivered = true;
-  SECTION("to the same address: acknowledged only") {
-    t.broker.enqueue(std::move(again));
-    REQUIRE(t.world.turn_until([&] { return t.broker.acked == 2; }, 20000));
-    CHECK(t.broker.answers.size() == 1);
-  }
-  SECTION("to another address: the remembered answer") {
-    again.properties.correlation_id = "c-b";
-    t.broker.enqueue(std::move(again));
-    REQUIRE(t.answered("b"));
-    CHECK(t.broker.answers_to("b")[0].body == "x");
-  }
+  t.broker.enqueue(redelivery_of_last_call(t.broker));
+  REQUIRE(t.world.turn_until([&] { return t.broker.acked == 2; }, 20000));
+  CHECK(t.broker.answers.size() == 1);
+  CHECK(t.world.host[0]->execs == 1);
+}
+
+TEST_CASE("a redelivery with another reply address gets the cached answer") {
+  Triggers t(1);
+  t.broker.send("a", "bin-record", "x");
+  REQUIRE(t.answered("a"));
+  REQUIRE(t.settled());
+  auto redelivery = redelivery_of_last_call(t.broker);
+  redelivery.properties.correlation_id = "c-b";
+  t.broker.enqueue(std::move(redelivery));
+  REQUIRE(t.answered("b"));
+  CHECK(t.broker.answers_to("b")[0].body == "x");
   CHECK(t.world.host[0]->execs == 1);
 }
 
