--- /dev/null
+++ b/src/policy/service_times.cpp
@@ -0,0 +1,82 @@
+#include "policy/service_times.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr double kRunGain = 0.1;      // about the last ten answers
+constexpr double kLoadGain = 0.3;     // loads are few
+constexpr double kSharedGain = 0.25;  // part of these gains for averages over a class or all functions
+constexpr double kOutlier = 4;        // one sample counts at most as this many times the average
+constexpr double kUnloadedGrowth =
+    1.002;                         // the unloaded run may grow this much an answer: work changes in time
+constexpr int kRunsToTrust = 5;    // with fewer runs a function is taken as its class
+constexpr double kSilentRuns = 6;  // this many usual runs without an answer are silence
+constexpr double kLongLoads = 3;   // a load this many times the usual is no longer waited for
+
+void follow_least(double& least, double run) {
+  least = least > 0 ? std::min(least * kUnloadedGrowth, run) : run;
+}
+
+}  // namespace
+
+ServiceTimes::ServiceTimes(const Settings& settings)
+    : settings_(settings),
+      shortest_objective_(shortest_objective_ms(settings)),
+      classes_(settings.classes.size() + 1) {}
+
+double ServiceTimes::run(const FunctionTimes& function) const {
+  if (function.run.known()) return function.run.value;
+  return classes_[class_slot(function.class_index)].run.value;
+}
+
+double ServiceTimes::unloaded_run(const FunctionTimes& function) const {
+  if (function.run.samples >= kRunsToTrust) return function.unloaded_run;
+  const double of_class = class_unloaded_run(function.class_index);
+  return of_class > 0 ? of_class : run(function);
+}
+
+double ServiceTimes::load(const FunctionTimes& function) const {
+  if (function.load.known()) return function.load.value;
+  return function.load_hint > 0 ? function.load_hint : all_loads_.value;
+}
+
+double ServiceTimes::work(int class_index) const {
+  const double work = classes_[class_slot(class_index)].run.value;
+  if (work > 0) return work;
+  const ClassSettings* settings = class_settings(settings_, class_index);
+  const double quarter_objective = settings != nullptr ? settings->aim.count() / 4 : 0;
+  return std::max({all_runs_.value, quarter_objective, 1.0});
+}
+
+Millis ServiceTimes::run_timeout(double run) const {
+  return std::max(kLeastSilence, Millis(run * kSilentRuns));
+}
+
+Millis ServiceTimes::load_timeout(double load) const {
+  // Before any sample a load is taken as two latency objectives where invokers load by sending.
+  const bool known = load > 0 || !has_many_invokers(settings_);
+  return Millis(kLongLoads * (known ? load : 2 * shortest_objective_));
+}
+
+Millis ServiceTimes::order_timeout(const FunctionTimes& function) const {
+  return Millis(kLongLoads * std::max(load(function), kLeastSilence.count()));
+}
+
+void ServiceTimes::record_run(FunctionTimes& function, int class_index, double elapsed) {
+  function.run.add(elapsed, kRunGain, kOutlier);
+  all_runs_.add(elapsed, kRunGain * kSharedGain, kOutlier);
+  follow_least(function.unloaded_run, function.run.value);
+  if (class_index < 0) return;
+  ClassTimes& of_class = classes_[class_slot(class_index)];
+  of_class.run.add(elapsed, kRunGain * kSharedGain, kOutlier);
+  follow_least(of_class.unloaded_run, of_class.run.value);
+}
+
+void ServiceTimes::record_load(FunctionTimes& function, double elapsed) {
+  function.load.add(elapsed, kLoadGain, kOutlier);
+  all_loads_.add(elapsed, kLoadGain * kSharedGain, kOutlier);
+}
+
+}  // namespace pathstack::policy
