--- /dev/null
+++ b/src/policy/gossip.cpp
@@ -0,0 +1,65 @@
+#include "policy/gossip.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr std::size_t kTagLength = 3;
+constexpr std::size_t kRecordLength = kTagLength + 1;
+constexpr std::size_t kMessageBytes = 240;  // stays under the wire's limit
+constexpr char kZeroLevel = '0';
+constexpr char kDownMark = '!';          // in place of a level; no letter of a tag
+constexpr char kOwnCallsTag[] = "!!!";   // in place of a worker's tag
+constexpr double kStepsPerDoubling = 4;  // own calls are told on a logarithmic scale
+constexpr int kMostWaiting = 60;
+
+}  // namespace
+
+std::string worker_tag(std::uint64_t hash) {
+  std::string tag;
+  for (std::size_t i = 0; i < kTagLength; ++i)
+    tag += static_cast<char>(kZeroLevel + (hash >> (8 + 6 * i)) % 64);
+  return tag;
+}
+
+void GossipMessage::add_own_calls(double calls) {
+  const int level = static_cast<int>(kStepsPerDoubling * std::log2(std::max(calls, 1.0)));
+  text_ += kOwnCallsTag;
+  text_ += static_cast<char>(kZeroLevel + level);
+}
+
+void GossipMessage::add_worker_load(std::uint64_t worker_hash, double waiting) {
+  const int level = static_cast<int>(std::min<double>(waiting, kMostWaiting));
+  text_ += worker_tag(worker_hash) + static_cast<char>(kZeroLevel + level);
+}
+
+bool GossipMessage::has_space() const { return text_.size() + kRecordLength <= kMessageBytes; }
+
+bool GossipMessage::tells_of_workers() const { return text_.size() > kRecordLength; }
+
+std::string GossipMessage::worker_down(std::uint64_t worker_hash) {
+  return worker_tag(worker_hash) + kDownMark;
+}
+
+std::vector<GossipRecord> parse_gossip(const std::string& text) {
+  std::vector<GossipRecord> records;
+  for (std::size_t i = 0; i + kRecordLength <= text.size(); i += kRecordLength) {
+    GossipRecord record;
+    record.tag = text.substr(i, kTagLength);
+    const char level = text[i + kTagLength];
+    if (record.tag == kOwnCallsTag) {
+      record.kind = GossipRecord::Kind::own_calls;
+      record.value = std::exp2((level - kZeroLevel) / kStepsPerDoubling);
+    } else if (level == kDownMark) {
+      record.kind = GossipRecord::Kind::worker_down;
+    } else {
+      record.value = std::min(std::max(level - kZeroLevel, 0), kMostWaiting);
+    }
+    records.push_back(std::move(record));
+  }
+  return records;
+}
+
+}  // namespace pathstack::policy
--- /dev/null
+++ b/src/policy/worker_table.cpp
@@ -0,0 +1,111 @@
+#include "policy/worker_table.h"
+
+#include <algorithm>
+
+#include "policy/gossip.h"
+#include "policy/hash.h"
+
+namespace pathstack::policy {
+namespace {
+
+constexpr Millis kFirstLists{250};     // lists this close to the first one tell of earlier starts
+constexpr Millis kForgetAfter{60000};  // a worker gone for so long is pruned
+
+}  // namespace
+
+std::vector<WorkerChange> WorkerTable::apply(const event::List& list, Millis now) {
+  std::vector<WorkerChange> changes;
+  if (list_version_++ == 0) first_list_at_ = now;
+  for (const WorkerEntry& entry : list.entries) take_entry(place_of(entry.worker), entry, now, changes);
+  for (Worker& worker : workers_) {
+    const bool missing = list.kind != ListKind::delta && worker.listed_in != list_version_;
+    if (missing && worker.state != WorkerState::gone) {
+      changes.push_back({worker.index, WorkerChange::Kind::left});
+      worker.state = WorkerState::gone;
+    }
+    if (worker.state != WorkerState::gone) worker.gone_at = now;
+  }
+  return changes;
+}
+
+WorkerIndex WorkerTable::place_of(const std::string& id) {
+  const bool reused = !free_.empty();
+  const WorkerIndex next = reused ? free_.back() : workers_.size();
+  const auto [place, added] = by_id_.try_emplace(id, next);
+  if (added && reused) free_.pop_back();
+  if (added && !reused) workers_.emplace_back();
+  return place->second;
+}
+
+void WorkerTable::take_entry(WorkerIndex index, const WorkerEntry& entry, Millis now,
+                             std::vector<WorkerChange>& changes) {
+  Worker& worker = workers_[index];
+  const bool added = worker.worker.empty();
+  // Zero tells nothing: entries of workers that are gone or drain need not have a stamp.
+  const bool stamped = entry.started.count() != 0 && (added || entry.started != worker.started);
+  const Millis stamp = stamped ? entry.started : worker.started;
+  if (stamped) worker.started_at = start_time(entry.started, now);
+  if (added) changes.push_back({index, WorkerChange::Kind::added});
+  if (!added && stamped) changes.push_back({index, WorkerChange::Kind::restarted});
+  if (entry.state != WorkerState::ready) changes.push_back({index, WorkerChange::Kind::left});
+  static_cast<WorkerEntry&>(worker) = entry;
+  worker.started = stamp;
+  worker.index = index;
+  worker.listed_in = list_version_;
+  worker.hash = hash_of(entry.worker);
+  by_tag_[worker_tag(worker.hash)] = index;
+  if (!(worker.weight > 0)) worker.weight = 1;
+}
+
+Millis WorkerTable::start_time(Millis stamp, Millis now) const {
+  // A start that a live list tells of lies between the list before and now, whatever its stamp: it counts
+  // from now, the latest that it can be, so that a worker is never taken for warmer than it is. Of the starts
+  // in the invoker's own first lists (what it knows at its start, and what it is notified of at once) only
+  // the stamps are known; one ahead of the local clock counts as now.
+  if (now - first_list_at_ > kFirstLists) return now;
+  return std::min(stamp, now);
+}
+
+std::vector<WorkerIndex> WorkerTable::prune(Millis now) {
+  std::vector<WorkerIndex> pruned;
+  for (Worker& worker : workers_) {
+    if (worker.worker.empty() || worker.state != WorkerState::gone) continue;
+    if (worker.in_flight > 0 || now < worker.gone_at + kForgetAfter) continue;
+    const auto tag = by_tag_.find(worker_tag(worker.hash));
+    if (tag != by_tag_.end() && tag->second == worker.index) by_tag_.erase(tag);
+    by_id_.erase(worker.worker);
+    const WorkerIndex index = worker.index;
+    worker = Worker();
+    worker.index = index;
+    worker.state = WorkerState::gone;
+    free_.push_back(index);
+    pruned.push_back(index);
+  }
+  return pruned;
+}
+
+const Worker* WorkerTable::find(const std::string& id) const {
+  const auto found = by_id_.find(id);
+  return found == by_id_.end() ? nullptr : &workers_[found->second];
+}
+
+std::optional<WorkerIndex> WorkerTable::find_by_tag(const std::string& tag) const {
+  const auto found = by_tag_.find(tag);
+  if (found == by_tag_.end()) return std::nullopt;
+  return found->second;
+}
+
+void WorkerTable::attempt_started(WorkerIndex index, bool confirmed, Millis now) {
+  Worker& worker = workers_[index];
+  if (worker.in_flight == 0) worker.heard_at = now;
+  ++worker.in_flight;
+  if (has_many_invokers(settings_) && !confirmed) ++worker.unconfirmed_in_flight;
+}
+
+void WorkerTable::attempt_ended(WorkerIndex index, bool confirmed) {
+  Worker& worker = workers_[index];
+  worker.in_flight = std::max(0, worker.in_flight - 1);
+  if (has_many_invokers(settings_) && !confirmed) --worker.unconfirmed_in_flight;
+}
+
+}  // namespace pathstack::policy
