--- /dev/null
+++ b/src/policy/load_order_budget.cpp
@@ -0,0 +1,34 @@
+#include "policy/load_order_budget.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+
+void LoadOrderBudget::request_arrived(Millis now) {
+  if (!is_limited()) return;
+  requests_.push_back(now);
+  forget_requests(now);
+}
+
+bool LoadOrderBudget::allows_order(Millis now) {
+  if (!is_limited()) return true;
+  while (!orders_.empty() && now - orders_.front() > settings_.load_window) orders_.pop_front();
+  forget_requests(now);
+  const double allowed = settings_.load_floor + settings_.load_ratio * static_cast<double>(requests_.size());
+  return static_cast<double>(orders_.size()) + 1 <= allowed;
+}
+
+void LoadOrderBudget::order_sent(Millis now) {
+  if (is_limited()) orders_.push_back(now);
+}
+
+void LoadOrderBudget::order_not_sent(Millis sent_at) {
+  const auto counted = std::find(orders_.begin(), orders_.end(), sent_at);
+  if (counted != orders_.end()) orders_.erase(counted);
+}
+
+void LoadOrderBudget::forget_requests(Millis now) {
+  while (!requests_.empty() && now - requests_.front() >= settings_.load_window) requests_.pop_front();
+}
+
+}  // namespace pathstack::policy
