--- /dev/null
+++ b/src/policy/function_table.cpp
@@ -0,0 +1,107 @@
+#include "policy/function_table.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr Millis kForgetAfter{60000};         // functions that nobody requested in this time are dropped
+constexpr Millis kForgetUnservedAfter{5000};  // those that no worker has served yet
+constexpr std::size_t kMostFunctions = 4096;  // beyond so many, as soon as nothing holds them
+constexpr int kMostSlots = 1024;
+
+}  // namespace
+
+Instance* Function::find_instance(WorkerIndex worker) {
+  for (Instance& instance : instances) {
+    if (instance.worker == worker) return &instance;
+  }
+  return nullptr;
+}
+
+Instance& Function::instance_at(WorkerIndex worker) {
+  if (Instance* known = find_instance(worker)) return *known;
+  instances.emplace_back();
+  instances.back().worker = worker;
+  return instances.back();
+}
+
+Function& FunctionTable::request_arrived(const event::Request& request, int class_index, Millis now) {
+  const auto [place, added] = by_id_.try_emplace(request.function, nullptr);
+  if (added) {
+    functions_.push_back(std::make_unique<Function>());
+    place->second = functions_.back().get();
+    place->second->id = request.function;
+    place->second->first_seen = now;
+  }
+  Function& function = *place->second;
+  function.times.class_index = class_index;
+  function.slots = std::min(std::max(request.lanes, 1), kMostSlots);
+  if (request.load_hint) function.times.load_hint = std::max(request.load_hint->count(), 0.0);
+  function.arrivals = 1 + function.arrivals * decay(now, function.last_seen, kDemandMemory);
+  function.last_seen = now;
+  return function;
+}
+
+Function* FunctionTable::find(std::uint64_t id) {
+  const auto found = by_id_.find(id);
+  return found == by_id_.end() ? nullptr : found->second;
+}
+
+bool FunctionTable::is_warm(const Instance& instance, Millis now) const {
+  if (instance.loaded <= 0) return false;
+  if (instance.in_flight > 0 || settings_.keep_alive.count() <= 0) return true;
+  return now - instance.used_at <= settings_.keep_alive;
+}
+
+void FunctionTable::begin_load(Instance& instance, Millis now) {
+  ++loads_in_flight_;
+  instance.loading = 1;
+  instance.load_began_at = now;
+  instance.used_at = now;
+}
+
+void FunctionTable::end_load(Instance& instance) {
+  loads_in_flight_ -= instance.loading;
+  instance.loading = 0;
+}
+
+void FunctionTable::forget_instances(WorkerIndex worker) {
+  for (const auto& function : functions_) {
+    Instance* instance = function->find_instance(worker);
+    if (instance == nullptr) continue;
+    instance->loaded = 0;
+    end_load(*instance);
+  }
+}
+
+void FunctionTable::expire(Millis now) {
+  for (const auto& function : functions_) expire_instances(*function, now);
+}
+
+void FunctionTable::expire_instances(Function& function, Millis now) {
+  std::vector<Instance>& instances = function.instances;
+  for (Instance& instance : instances) {
+    if (instance.in_flight > 0) instance.used_at = now;
+    if (!is_warm(instance, now)) instance.loaded = 0;
+    instance.confirmed = instance.confirmed && instance.loaded > 0;
+    if (instance.loading == 0) continue;
+    if (now - instance.load_began_at > times_.order_timeout(function.times)) end_load(instance);
+  }
+  const auto is_empty = [](const Instance& i) { return i.loaded + i.loading + i.in_flight == 0; };
+  instances.erase(std::remove_if(instances.begin(), instances.end(), is_empty), instances.end());
+}
+
+void FunctionTable::prune(Millis now) {
+  const auto is_stale = [&](const std::unique_ptr<Function>& function) {
+    Millis kept = function->times.run.known() ? kForgetAfter : kForgetUnservedAfter;
+    if (functions_.size() > kMostFunctions) kept = kSweepInterval;
+    const bool in_use = !function->queue.empty() || !function->instances.empty();
+    if (in_use || now - function->last_seen <= kept) return false;
+    by_id_.erase(function->id);
+    return true;
+  };
+  functions_.erase(std::remove_if(functions_.begin(), functions_.end(), is_stale), functions_.end());
+}
+
+}  // namespace pathstack::policy
