--- /dev/null
+++ b/src/policy/slow_start.cpp
@@ -0,0 +1,99 @@
+#include "policy/slow_start.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr Millis kServedMemory{4000};  // some windows of the rule
+constexpr Millis kCoreUsePace{5000};   // pace of probes while a budget keeps requests from a warming worker
+constexpr double kCoreUseGain = 0.3;   // samples are few
+constexpr double kNoOutlier = 1e9;
+constexpr double kLeastCoreUse = 0.25;  // less is taken as this: samples are few and noisy
+constexpr double kBudgetPart = 0.6;     // part of the budget that is used: chance and clock slack
+constexpr double kSavedWindowPart = 5;  // a budget saves up a fifth of a window at most, or one request
+
+}  // namespace
+
+SlowStart::SlowStart(const Settings& settings, const WorkerTable& workers, const OutlierDetector& outliers,
+                     Random& random, ActionSink& actions)
+    : settings_(settings), workers_(workers), outliers_(outliers), random_(random), actions_(actions) {}
+
+void SlowStart::reset(WorkerIndex worker) {
+  if (budgets_.size() <= worker) budgets_.resize(worker + 1);
+  budgets_[worker] = Budget();
+}
+
+void SlowStart::returned(WorkerIndex worker, Millis now) {
+  budgets_[worker].returned_at = now;
+  budgets_[worker].filled_at = kNever;
+}
+
+Millis SlowStart::warming_since(WorkerIndex worker) const {
+  return std::max(workers_[worker].started_at, budgets_[worker].returned_at);
+}
+
+bool SlowStart::is_warming_up(WorkerIndex worker, Millis now) const {
+  if (outliers_.is_down(worker)) return true;
+  const Millis since = warming_since(worker);
+  return since.count() > 0 && now - since < settings_.cold_for;
+}
+
+double SlowStart::capacity_share(WorkerIndex worker, Millis now) const {
+  double age = 0;
+  if (!outliers_.is_down(worker)) age = std::max(0.0, (now - warming_since(worker)) / settings_.cold_for);
+  return settings_.cold_from + (1 - settings_.cold_from) * std::min(1.0, age);
+}
+
+double SlowStart::work_rate_of_warm_worker(Millis now) const {
+  const auto is_warm = [&](const Worker& worker) {
+    return worker.state == WorkerState::ready && !is_warming_up(worker.index, now);
+  };
+  const auto warm = std::count_if(workers_.all().begin(), workers_.all().end(), is_warm);
+  const double served = served_ * decay(now, served_at_, kServedMemory) / kServedMemory.count();
+  return warm > 0 && served > 0 ? served / static_cast<double>(warm) : 1.0 / settings_.routers;
+}
+
+bool SlowStart::has_budget(WorkerIndex worker, double work, Millis now) {
+  if (!is_warming_up(worker, now)) return true;
+  Budget& budget = budgets_[worker];
+  const double core_use = core_use_.known() ? std::max(core_use_.value, kLeastCoreUse) : 1;
+  const double pace = kBudgetPart * settings_.cold_multiple * capacity_share(worker, now) *
+                      work_rate_of_warm_worker(now) / core_use;
+  if (budget.filled_at == kNever) {
+    budget.tokens = work * random_.fraction();
+  } else {
+    budget.tokens += pace * (now - budget.filled_at).count();
+  }
+  budget.filled_at = now;
+  const double most = std::max(work, pace * settings_.cold_window.count() / kSavedWindowPart);
+  budget.tokens = std::min(budget.tokens, most);
+  if (budget.tokens < work) sample_core_use(now);
+  return budget.tokens >= work;
+}
+
+double SlowStart::charge(WorkerIndex worker, double work, Millis now) {
+  if (!is_warming_up(worker, now)) return 0;
+  budgets_[worker].tokens -= work;
+  return work;
+}
+
+void SlowStart::record_served(double work, Millis now) {
+  served_ = served_ * decay(now, served_at_, kServedMemory) + work;
+  served_at_ = now;
+}
+
+void SlowStart::record_core_use(WorkerIndex worker, double use, Millis now) {
+  if (!is_warming_up(worker, now)) core_use_.add(std::max(use, 0.0), kCoreUseGain, kNoOutlier);
+}
+
+void SlowStart::sample_core_use(Millis now) {
+  if (!settings_.probes || settings_.reports != ReportMode::probe) return;
+  if (now - core_use_asked_at_ < kCoreUsePace) return;
+  const Worker& worker = workers_.all()[random_.next() % workers_.all().size()];
+  if (!outliers_.is_usable(worker.index, now) || is_warming_up(worker.index, now)) return;
+  core_use_asked_at_ = now;
+  actions_.emit(action::Probe{worker.worker});
+}
+
+}  // namespace pathstack::policy
