--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,113 @@
+#include "policy/retry_policy.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr int kMostVotes = 20;    // after so many others in a row first attempts have a new time
+constexpr int kVotesForSame = 3;  // two of three arrivals may be retries
+
+}  // namespace
+
+RetryPolicy::RetryPolicy(const Settings& settings, const WorkerTable& workers, RequestTable& requests,
+                         const ServiceTimes& times, const OutlierDetector& outliers, SlowStart& slow_start,
+                         const ConcurrencyLimit& limits, const Admission& admission, Random& random,
+                         ActionSink& actions)
+    : settings_(settings),
+      workers_(workers),
+      requests_(requests),
+      times_(times),
+      outliers_(outliers),
+      slow_start_(slow_start),
+      limits_(limits),
+      admission_(admission),
+      random_(random),
+      actions_(actions),
+      first_attempts_(settings.classes.size() + 1) {}
+
+bool RetryPolicy::may_repeat(const Request& request, const Worker* worker, Millis now) const {
+  const ClassSettings* settings = class_settings(settings_, request.class_index);
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.state == AttemptState::never_ran || attempt.state == AttemptState::not_sent) continue;
+    if (settings == nullptr || !may_follow(attempt, *settings, worker, now)) return false;
+  }
+  return true;
+}
+
+bool RetryPolicy::may_follow(const Attempt& attempt, const ClassSettings& settings, const Worker* worker,
+                             Millis now) const {
+  if (settings.semantics == Semantics::once) return false;
+  if (settings.semantics == Semantics::repeatable) return true;
+  if (now - attempt.sent_at + settings_.tick > settings.key_window) return false;
+  if (settings.scope == KeyScope::all) return true;
+  if (worker == nullptr) return false;
+  const Worker& first = workers_[attempt.worker];
+  return settings.scope == KeyScope::zone ? worker->zone == first.zone : worker->cell == first.cell;
+}
+
+bool RetryPolicy::may_repeat_anywhere(const Request& request, Millis now) const {
+  const auto may_repeat_at = [&](const Worker& worker) { return may_repeat(request, &worker, now); };
+  return std::any_of(workers_.all().begin(), workers_.all().end(), may_repeat_at) ||
+         may_repeat(request, nullptr, now);
+}
+
+bool RetryPolicy::has_attempts_left(const Request& request) const {
+  return request.attempts_sent() < settings_.max_attempts;
+}
+
+bool RetryPolicy::may_send(const Request& request, WorkerIndex worker, Millis now) {
+  if (now < request.not_before || limits_.is_backing_off(worker, now)) return false;
+  if (request.done || request.streaming || now >= request.deadline) return false;
+  if (!has_attempts_left(request)) return false;
+  if (!settings_.second_copies && request.has_attempt_out()) return false;
+  if (!outliers_.is_usable(worker, now)) return false;
+  if (!outliers_.serves_class(worker, request.class_index, now)) return false;
+  if (!may_repeat(request, &workers_[worker], now)) return false;
+  return slow_start_.has_budget(worker, times_.work(request.class_index), now);
+}
+
+void RetryPolicy::retry_or_give_up(Request& request, Millis now) {
+  const bool allowed = has_attempts_left(request) && may_repeat_anywhere(request, now);
+  if (!allowed || !admission_.is_worth_queueing(request, now)) return give_up(request, now);
+  requests_.enqueue(request, QueueEnd::front);
+}
+
+void RetryPolicy::give_up(Request& request, Millis now) {
+  if (!request.attempts.empty()) ++given_up_after_attempt_;
+  if (may_repeat(request, nullptr, now)) {
+    actions_.emit(action::Refuse{request.id, retry_after(request, now)});
+  } else {
+    actions_.emit(action::Fail{request.id});
+  }
+  requests_.finish(request);
+}
+
+Millis RetryPolicy::retry_after(const Request& request, Millis now) {
+  if (!settings_.retry_after) return Millis(0);
+  // In time for the objective, and at random lest refused clients return together.
+  const Millis left = (request.objective_at - now) / 2;
+  if (left.count() <= 0) return settings_.max_retry_after;
+  return std::min(left * (0.5 + random_.fraction()), settings_.max_retry_after);
+}
+
+Millis RetryPolicy::objective_at(int class_index, Millis time_left, Millis now) {
+  const ClassSettings* settings = class_settings(settings_, class_index);
+  const Millis deadline = now + time_left;
+  const bool has_objective = settings != nullptr && settings->aim.count() > 0;
+  const Millis from_now = has_objective ? std::min(deadline, now + settings->aim) : deadline;
+
+  FirstAttempts& first = first_attempts_[class_slot(class_index)];
+  const bool same = std::abs((time_left - first.time_left).count()) <= 2 * settings_.tick.count();
+  first.votes = std::min(first.votes + (same ? kVotesForSame : -1), kMostVotes);
+  if (first.votes < 0) {
+    first.time_left = time_left;
+    first.votes = 1;
+    return from_now;
+  }
+  if (settings == nullptr || same) return from_now;
+  return std::min(from_now, deadline - settings->deadline + settings->aim);
+}
+
+}  // namespace pathstack::policy
--- /dev/null
+++ b/tests/policy/parts.h
@@ -0,0 +1,80 @@
+// The parts of the decision module below the scheduler, wired for tests that drive one of them.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "policy/admission.h"
+#include "policy/concurrency_limit.h"
+#include "policy/function_table.h"
+#include "policy/load_reports.h"
+#include "policy/outlier_detector.h"
+#include "policy/request_table.h"
+#include "policy/retry_policy.h"
+#include "policy/service_times.h"
+#include "policy/slow_start.h"
+#include "policy/worker_table.h"
+#include "policy_harness.h"
+
+namespace pathstack::policy::test {
+
+struct Parts {
+  explicit Parts(Settings s = test::settings()) : settings(std::move(s)) { actions.write_to(emitted); }
+
+  /// Lists the worker and resets all parts for it.
+  WorkerIndex add_worker(const WorkerEntry& worker) {
+    workers.apply({ListKind::delta, {worker}}, now);
+    const WorkerIndex index = workers.find(worker.worker)->index;
+    outliers.reset(index);
+    slow_start.reset(index);
+    reports.reset(index);
+    limits.reset(index);
+    return index;
+  }
+
+  Function& add_function(std::uint64_t id, int class_index = 0, int slots = 2) {
+    event::Request request;
+    request.function = id;
+    request.lanes = slots;
+    return functions.request_arrived(request, class_index, now);
+  }
+
+  /// A queued request of the function with these times left.
+  Request& add_request(const std::string& id, Function& function, double deadline = 4000,
+                       double objective = 1000) {
+    Request& request = requests.create(id, function.times.class_index, function);
+    request.deadline = now + Millis(deadline);
+    request.objective_at = now + Millis(objective);
+    requests.enqueue(request, QueueEnd::back);
+    return request;
+  }
+
+  template <typename AnyAction>
+  std::vector<AnyAction> emitted_of() const {
+    std::vector<AnyAction> found;
+    for (const Action& action : emitted) {
+      if (const auto* one = std::get_if<AnyAction>(&action)) found.push_back(*one);
+    }
+    return found;
+  }
+
+  Settings settings;
+  Millis now{1000};
+  std::vector<Action> emitted;
+  ActionSink actions;
+  Random random{7};
+  WorkerTable workers{settings};
+  ServiceTimes times{settings};
+  FunctionTable functions{settings, times};
+  RequestTable requests;
+  OutlierDetector outliers{settings, workers, times, functions, actions};
+  SlowStart slow_start{settings, workers, outliers, random, actions};
+  LoadReports reports{settings, workers, slow_start, actions};
+  ConcurrencyLimit limits{settings, workers, reports, random};
+  Admission admission{settings, requests, times, limits};
+  RetryPolicy retries{settings,   workers, requests,  times,  outliers,
+                      slow_start, limits,  admission, random, actions};
+};
+
+}  // namespace pathstack::policy::test
