--- /dev/null
+++ b/src/policy/outcome_recorder.cpp
@@ -0,0 +1,215 @@
+#include "policy/outcome_recorder.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+namespace {
+
+/// So many usual runs, slowdown included, at an instance known to be loaded are a load.
+constexpr double kRunsThatShowLoad = 4;
+/// The same at an instance that is not known to be loaded.
+constexpr double kRunsThatShowLoadUnconfirmed = 2.5;
+constexpr double kLeastLoad = 1;     // milliseconds
+constexpr int kLocalFaultTries = 3;  // so often a request is sent elsewhere at once, then after the backoff
+constexpr int kMostInstancesAtWorker = 16;  // of one function, by the wire
+
+/// The outcome says that bytes of the worker arrived, or that it refused a connection.
+bool is_heard_from(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::timeout:
+    case Outcome::cancelled:
+    case Outcome::not_sent:
+    case Outcome::unreachable: return false;
+    default: return true;
+  }
+}
+
+bool is_answer_of_worker(Outcome outcome) {
+  return outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::miss;
+}
+
+}  // namespace
+
+OutcomeRecorder::OutcomeRecorder(const Settings& settings, WorkerTable& workers, FunctionTable& functions,
+                                 RequestTable& requests, ServiceTimes& times, OutlierDetector& outliers,
+                                 SlowStart& slow_start, LoadReports& reports, ConcurrencyLimit& limits,
+                                 LoadOrderBudget& order_budget, const RetryPolicy& retries,
+                                 ActionSink& actions)
+    : settings_(settings),
+      workers_(workers),
+      functions_(functions),
+      requests_(requests),
+      times_(times),
+      outliers_(outliers),
+      slow_start_(slow_start),
+      reports_(reports),
+      limits_(limits),
+      order_budget_(order_budget),
+      retries_(retries),
+      actions_(actions) {}
+
+void OutcomeRecorder::note_alive(WorkerIndex worker, Millis now) {
+  if (outliers_.note_alive(worker, now)) slow_start_.returned(worker, now);
+}
+
+void OutcomeRecorder::record_attempt(Request& request, const Attempt& attempt, const event::Answer& answer,
+                                     Millis now) {
+  const WorkerIndex worker = attempt.worker;
+  Instance& instance = request.function->instance_at(worker);
+  workers_.attempt_ended(worker, attempt.confirmed);
+  instance.in_flight = std::max(0, instance.in_flight - 1);
+  if (is_heard_from(answer.outcome)) workers_.heard_from(worker, now);
+  if (is_answer_of_worker(answer.outcome)) note_alive(worker, now);
+  if (answer.outcome == Outcome::not_sent) return take_back(request, attempt, instance, now);
+  reports_.record(worker, answer.report, now);
+  learn(request, attempt, instance, answer, now);
+}
+
+/// A fault of this machine kept the attempt from leaving: it changes no belief and counts as no attempt. Its
+/// request may go elsewhere at once, but not without end: the same fault is likely to meet it there.
+void OutcomeRecorder::take_back(Request& request, const Attempt& attempt, Instance& instance, Millis now) {
+  slow_start_.refund(attempt.worker, attempt.warm_up_cost);
+  const bool assumed_for_this_attempt = !attempt.confirmed && !instance.confirmed && instance.in_flight == 0;
+  if (assumed_for_this_attempt) instance.loaded = 0;
+  limits_.record_local_fault(attempt.worker, now);
+  if (request.not_sent % kLocalFaultTries == 0) request.not_before = now + kLocalFaultBackoff;
+}
+
+void OutcomeRecorder::learn(const Request& request, const Attempt& attempt, Instance& instance,
+                            const event::Answer& answer, Millis now) {
+  const WorkerIndex worker = attempt.worker;
+  switch (answer.outcome) {
+    case Outcome::ok: return record_success(request, attempt, instance, answer, now);
+    case Outcome::miss:
+      instance.loaded = 0;
+      request.function->missed = true;
+      return;
+    case Outcome::full: return limits_.record_full(worker, now);
+    case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
+    case Outcome::reset: return outliers_.connection_failed(worker, true, now);
+    case Outcome::unreachable: return outliers_.network_unreachable(worker, now);
+    case Outcome::error:
+    case Outcome::timeout: return record_failure(request, attempt, answer, now);
+    default: return;
+  }
+}
+
+void OutcomeRecorder::record_success(const Request& request, const Attempt& attempt, Instance& instance,
+                                     const event::Answer& answer, Millis now) {
+  record_times(request, attempt, answer, now);
+  outliers_.record_success(attempt.worker, request.class_index, now);
+  request.function->missed = false;
+  instance.loaded = std::max(instance.loaded, 1);
+  instance.confirmed = true;
+  instance.used_at = now;
+  slow_start_.record_served(times_.work(request.class_index), now);
+}
+
+/// An answer that waited for a load would inflate R and the slowdown if it were taken for a run.
+void OutcomeRecorder::record_times(const Request& request, const Attempt& attempt,
+                                   const event::Answer& answer, Millis now) {
+  FunctionTimes& function = request.function->times;
+  const double elapsed = std::max(answer.elapsed.count(), 0.0);
+  const bool not_told = answer.warmth == Warmth::untold;
+  const bool was_loaded =
+      not_told ? !shows_load(request, attempt, elapsed, now) : answer.warmth == Warmth::stood;
+  if (was_loaded) {
+    times_.record_run(function, request.class_index, elapsed);
+    limits_.record_slowdown(attempt.worker, elapsed / times_.unloaded_run(function), now);
+    return;
+  }
+  const bool began_load = not_told ? attempt.alone && !attempt.confirmed : answer.warmth == Warmth::began;
+  if (began_load) times_.record_load(function, std::max(elapsed - times_.run(function), kLeastLoad));
+}
+
+bool OutcomeRecorder::shows_load(const Request& request, const Attempt& attempt, double elapsed,
+                                 Millis now) const {
+  const double work = times_.work(request.class_index);
+  if (!attempt.confirmed) return elapsed > work * kRunsThatShowLoadUnconfirmed;
+  const double slowdown = std::max(1.0, limits_.slowdown(attempt.worker, now));
+  return elapsed > work * (kRunsThatShowLoad * slowdown);
+}
+
+void OutcomeRecorder::record_failure(const Request& request, const Attempt& attempt,
+                                     const event::Answer& answer, Millis now) {
+  if (attempt.taken_as_lost) return;  // it has counted already
+  // Requests for functions that no worker knows fail wherever they go: one of them counts, at most.
+  Function& function = *request.function;
+  if (!function.times.run.known() && function.blamed) return;
+  function.blamed = true;
+  outliers_.record_failure(attempt.worker, request.class_index, now);
+  // With many invokers each sends to a worker once in seconds: one error faster than a run is enough.
+  const bool fast = std::max(answer.elapsed.count(), 0.0) < times_.work(request.class_index);
+  if (answer.outcome == Outcome::error && has_many_invokers(settings_) && fast) {
+    outliers_.eject_class_for_fast_error(attempt.worker, request.class_index, now);
+  }
+}
+
+void OutcomeRecorder::record_order(Function& function, WorkerIndex worker, const event::Loaded& order,
+                                   Millis now) {
+  Instance& instance = function.instance_at(worker);
+  if (order.outcome == Outcome::not_sent) {
+    if (instance.loading > 0) order_budget_.order_not_sent(instance.load_began_at);
+    functions_.end_load(instance);
+    limits_.record_local_fault(worker, now);
+    function.no_order_before = now + kLocalFaultBackoff;
+    return;
+  }
+  if (instance.loading > 0) {
+    functions_.end_load(instance);
+    if (order.outcome == Outcome::ok) {
+      times_.record_load(function.times, std::max(order.elapsed.count(), kLeastLoad));
+    }
+    // Orders that fail at once would else go out at every sweep, to one worker after the other.
+    if (order.copies == 0) function.no_order_before = now + kLeastSilence;
+    if (order.copies > 0) function.missed = false;
+  }
+  switch (order.outcome) {
+    case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
+    case Outcome::reset: return outliers_.connection_failed(worker, true, now);
+    case Outcome::unreachable: return outliers_.network_unreachable(worker, now);
+    case Outcome::timeout: return;
+    default: break;
+  }
+  instance.loaded = std::min(std::max(order.copies, 0), kMostInstancesAtWorker);
+  instance.confirmed = instance.loaded > 0;
+  instance.used_at = now;
+}
+
+void OutcomeRecorder::record_probe(WorkerIndex worker, const event::Probed& probe, Millis now) {
+  if (probe.outcome != Outcome::ok) return outliers_.probe_failed(worker, probe.outcome, now);
+  outliers_.probe_answered(worker);
+  note_alive(worker, now);
+  reports_.record(worker, probe.report, now);
+}
+
+void OutcomeRecorder::find_unanswered(Millis now) {
+  for (auto& [serial, request] : requests_.all()) {
+    if (request.done || request.streaming || !request.has_attempt_out()) continue;
+    Attempt& attempt = request.attempts.back();
+    if (!is_overdue(request, attempt, now)) continue;
+    if (outliers_.is_silent(attempt.worker, now)) outliers_.eject(attempt.worker, now);
+    if (!attempt.taken_as_lost) take_as_lost(request, attempt, now);
+  }
+}
+
+bool OutcomeRecorder::is_overdue(const Request& request, const Attempt& attempt, Millis now) const {
+  const FunctionTimes& function = request.function->times;
+  // An instance that is only assumed may be loading still: requests there are slow, not lost.
+  const Millis load = attempt.confirmed ? Millis(0) : times_.load_timeout(times_.load(function));
+  const double slowdown = std::max(1.0, limits_.slowdown(attempt.worker, now));
+  const Millis run = times_.run_timeout(times_.unloaded_run(function) * slowdown);
+  return now - attempt.sent_at > run + load;
+}
+
+void OutcomeRecorder::take_as_lost(const Request& request, Attempt& attempt, Millis now) {
+  attempt.taken_as_lost = true;
+  outliers_.record_failure(attempt.worker, request.class_index, now);
+  if (!settings_.cancel || !retries_.may_repeat(request, nullptr, now)) return;
+  const bool may_still_serve = outliers_.is_usable(attempt.worker, now) &&
+                               outliers_.serves_class(attempt.worker, request.class_index, now);
+  if (may_still_serve) return;
+  actions_.emit(action::Cancel{request.id, static_cast<int>(request.attempts.size()) - 1});
+}
+
+}  // namespace pathstack::policy
--- /dev/null
+++ b/src/policy/outcome_recorder.h
@@ -0,0 +1,69 @@
+// What outcomes of attempts, orders and probes teach, and attempts that have none for too long.
+#pragma once
+
+#include "policy/common.h"
+#include "policy/concurrency_limit.h"
+#include "policy/function_table.h"
+#include "policy/load_order_budget.h"
+#include "policy/load_reports.h"
+#include "policy/outlier_detector.h"
+#include "policy/request_table.h"
+#include "policy/retry_policy.h"
+#include "policy/service_times.h"
+#include "policy/slow_start.h"
+#include "policy/worker_table.h"
+
+namespace pathstack::policy {
+
+/// Passes what an outcome says to the parts that keep it: times, instances, slowdown, health, budgets. It
+/// gives no answers and starts nothing.
+///
+/// Owned by Policy. record_attempt and record_order are O(instances of the function), find_unanswered is
+/// O(requests).
+class OutcomeRecorder {
+ public:
+  OutcomeRecorder(const Settings& settings, WorkerTable& workers, FunctionTable& functions,
+                  RequestTable& requests, ServiceTimes& times, OutlierDetector& outliers,
+                  SlowStart& slow_start, LoadReports& reports, ConcurrencyLimit& limits,
+                  LoadOrderBudget& order_budget, const RetryPolicy& retries, ActionSink& actions);
+
+  /// `attempt` of `request` has ended with the answer.
+  void record_attempt(Request& request, const Attempt& attempt, const event::Answer& answer, Millis now);
+  void record_order(Function& function, WorkerIndex worker, const event::Loaded& order, Millis now);
+  void record_probe(WorkerIndex worker, const event::Probed& probe, Millis now);
+
+  /// The worker answers: it runs, and warms up if it was down.
+  void note_alive(WorkerIndex worker, Millis now);
+
+  /// Counts attempts out for far too long as failures, and cancels them where they may run again: a silent
+  /// worker would let them wait until their deadlines.
+  void find_unanswered(Millis now);
+
+ private:
+  const Settings& settings_;
+  WorkerTable& workers_;
+  FunctionTable& functions_;
+  RequestTable& requests_;
+  ServiceTimes& times_;
+  OutlierDetector& outliers_;
+  SlowStart& slow_start_;
+  LoadReports& reports_;
+  ConcurrencyLimit& limits_;
+  LoadOrderBudget& order_budget_;
+  const RetryPolicy& retries_;
+  ActionSink& actions_;
+
+  void take_back(Request& request, const Attempt& attempt, Instance& instance, Millis now);
+  void learn(const Request& request, const Attempt& attempt, Instance& instance, const event::Answer& answer,
+             Millis now);
+  void record_success(const Request& request, const Attempt& attempt, Instance& instance,
+                      const event::Answer& answer, Millis now);
+  void record_times(const Request& request, const Attempt& attempt, const event::Answer& answer, Millis now);
+  void record_failure(const Request& request, const Attempt& attempt, const event::Answer& answer,
+                      Millis now);
+  bool shows_load(const Request& request, const Attempt& attempt, double elapsed, Millis now) const;
+  bool is_overdue(const Request& request, const Attempt& attempt, Millis now) const;
+  void take_as_lost(const Request& request, Attempt& attempt, Millis now);
+};
+
+}  // namespace pathstack::policy
--- /dev/null
+++ b/src/policy/scheduler.cpp
@@ -0,0 +1,141 @@
+#include "policy/scheduler.h"
+
+#include <algorithm>
+#include <limits>
+#include <map>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr int kMostInstancesAtWorker = 16;  // of one function, by the wire
+
+}  // namespace
+
+Scheduler::Scheduler(const Settings& settings, WorkerTable& workers, FunctionTable& functions,
+                     RequestTable& requests, const ServiceTimes& times, SlowStart& slow_start,
+                     const Admission& admission, RetryPolicy& retries, WorkerSelector& selector,
+                     LoadOrderBudget& order_budget, ActionSink& actions)
+    : settings_(settings),
+      workers_(workers),
+      functions_(functions),
+      requests_(requests),
+      times_(times),
+      slow_start_(slow_start),
+      admission_(admission),
+      retries_(retries),
+      selector_(selector),
+      order_budget_(order_budget),
+      actions_(actions) {}
+
+int Scheduler::usable_slots(const Function& function, Millis now) const {
+  return selector_.usable_slots(function, *admission_.next_in_queue(function, now), now);
+}
+
+// E of equations 6 and 7 with V = 0. An arrival stands in the queue already: N + 1 is the queue's length.
+double Scheduler::queued_after_load(const Function& function, int slots) const {
+  const double queued = static_cast<double>(function.queue.size());
+  if (slots == 0) return queued;
+  const double run = times_.run(function.times);
+  double load = times_.load(function.times);
+  // L counts at most as what the latency objective leaves: a slow store inflates L, and would strand what is
+  // queued.
+  const ClassSettings* settings = class_settings(settings_, function.times.class_index);
+  const double objective = settings != nullptr ? settings->aim.count() : 0;
+  if (objective > 0) load = std::min(load, std::max(objective - run, run));
+  if (run <= 0 || load <= 0) return 0;  // not sampled: load only if nothing is warm
+  return queued - load * slots / run;
+}
+
+// Equation 10.
+double Scheduler::weight_to_load(const Function& function, Millis now) const {
+  const int slots = usable_slots(function, now);
+  const double queued = queued_after_load(function, slots);
+  if (queued <= 0) return std::numeric_limits<double>::infinity();
+  return times_.run(function.times) + times_.load(function.times) * (slots + 1) / queued;
+}
+
+void Scheduler::consider(Function& function, Millis now) {
+  send_queued(function, now);
+  if (function.queue.empty() || queued_after_load(function, usable_slots(function, now)) <= 0) return;
+  const Request& next = *admission_.next_in_queue(function, now);
+  const auto worker = selector_.load_candidate(function, next, now);
+  if (worker) start_load(function, *worker, now);
+}
+
+void Scheduler::consider_all(Millis now) {
+  std::multimap<double, Function*> by_weight;
+  for (const auto& function : functions_.all()) {
+    if (!function->queue.empty()) by_weight.emplace(weight_to_load(*function, now), function.get());
+  }
+  for (const auto& [weight, function] : by_weight) consider(*function, now);
+}
+
+// Equation 9 with V = 0 is R: the function of the lowest weight below it gets this worker, else our own next
+// request.
+void Scheduler::attempt_ended(Function& function, WorkerIndex worker, Millis now) {
+  if (!selector_.may_load(worker, now)) return consider(function, now);
+  Function* best = nullptr;
+  double least = times_.run(function.times);
+  for (const auto& other : functions_.all()) {
+    if (other.get() == &function || other->queue.empty()) continue;
+    const double weight = weight_to_load(*other, now);
+    if (weight >= least) continue;
+    best = other.get();
+    least = weight;
+  }
+  if (best != nullptr) start_load(*best, worker, now);
+  consider(function, now);
+}
+
+void Scheduler::send_queued(Function& function, Millis now) {
+  while (Request* next = admission_.next_in_queue(function, now)) {
+    Instance* instance = selector_.warm_instance(function, *next, now);
+    if (instance == nullptr) return;
+    send(*next, *instance, now);
+  }
+}
+
+void Scheduler::start_load(Function& function, WorkerIndex worker, Millis now) {
+  Instance& instance = function.instance_at(worker);
+  if (instance.loading > 0) return;
+  Request& next = *admission_.next_in_queue(function, now);
+  const bool may_order = settings_.orders && order_budget_.allows_order(now);
+  if (loads_by_sending(function, next, may_order)) {
+    if (!retries_.may_send(next, worker, now)) return;
+    instance.loaded = 1;
+    send(next, instance, now);
+    return send_queued(function, now);
+  }
+  if (may_order && now >= function.no_order_before) order_load(function, instance, now);
+}
+
+/// Whether the load begins with the request itself, for which the worker loads the function. With many
+/// invokers the replica is most likely warm, since each sees a sliver of the requests; with few, sends would
+/// be loads past the window of the order budget.
+bool Scheduler::loads_by_sending(const Function& function, const Request& next, bool may_order) const {
+  if (settings_.miss_is_answered) return next.attempts_sent() == 0 && !function.missed;
+  return has_many_invokers(settings_) || !may_order;
+}
+
+void Scheduler::order_load(Function& function, Instance& instance, Millis now) {
+  const bool warm = functions_.is_warm(instance, now);
+  const int wanted = warm ? std::min(instance.loaded + 1, kMostInstancesAtWorker) : 1;
+  actions_.emit(action::Load{workers_[instance.worker].worker, function.id, wanted});
+  order_budget_.order_sent(now);
+  functions_.begin_load(instance, now);
+}
+
+void Scheduler::send(Request& request, Instance& instance, Millis now) {
+  const WorkerIndex worker = instance.worker;
+  requests_.dequeue(request);
+  actions_.emit(action::Send{request.id, workers_[worker].worker, request.deadline - now});
+  Attempt& attempt = requests_.start_attempt(request, worker, now);
+  attempt.confirmed = instance.confirmed;
+  attempt.alone = instance.in_flight == 0;
+  workers_.attempt_started(worker, attempt.confirmed, now);
+  ++instance.in_flight;
+  instance.used_at = now;
+  attempt.warm_up_cost = slow_start_.charge(worker, times_.work(request.class_index), now);
+}
+
+}  // namespace pathstack::policy
--- /dev/null
+++ b/src/policy/worker_selector.cpp
@@ -0,0 +1,107 @@
+#include "policy/worker_selector.h"
+
+#include <algorithm>
+
+namespace pathstack::policy {
+namespace {
+
+constexpr int kMostLoadsInFlight = 4;  // an invoker's orders at once: more make a slow store slower
+constexpr double kRetrySameCost = 4;   // the worker of the last attempt counts as so many times busier
+/// Past so many times the agreed replicas a request does not overflow to further workers.
+constexpr int kOverflowReplicas = 1;
+
+}  // namespace
+
+WorkerSelector::WorkerSelector(const Settings& settings, const FunctionTable& functions,
+                               const ServiceTimes& times, const OutlierDetector& outliers,
+                               SlowStart& slow_start, const ConcurrencyLimit& limits,
+                               const Admission& admission, RetryPolicy& retries, const Placement& placement)
+    : settings_(settings),
+      functions_(functions),
+      times_(times),
+      outliers_(outliers),
+      slow_start_(slow_start),
+      limits_(limits),
+      admission_(admission),
+      retries_(retries),
+      placement_(placement) {}
+
+bool WorkerSelector::may_use(const Function& function, const Request& request, WorkerIndex worker,
+                             Millis now) const {
+  if (!outliers_.is_usable(worker, now)) return false;
+  if (!outliers_.serves_class(worker, function.times.class_index, now)) return false;
+  if (!admission_.is_worth_sending(request, worker, now)) return false;
+  return !limits_.is_full(worker, now) && !limits_.is_backing_off(worker, now);
+}
+
+int WorkerSelector::usable_slots(const Function& function, const Request& next, Millis now) const {
+  int slots = 0;
+  for (const Instance& instance : function.instances) {
+    if (!may_use(function, next, instance.worker, now)) continue;
+    const int loaded = functions_.is_warm(instance, now) ? instance.loaded : 0;
+    const int of_instances = (loaded + instance.loading) * function.slots;
+    const int of_worker = instance.in_flight + limits_.free_slots(instance.worker);
+    slots += std::min(of_instances, of_worker);
+  }
+  return slots;
+}
+
+bool WorkerSelector::has_free_slot(const Function& function, const Instance& instance, Millis now) const {
+  if (!functions_.is_warm(instance, now)) return false;
+  if (instance.in_flight >= instance.loaded * function.slots) return false;
+  return limits_.has_room(instance.worker, now);
+}
+
+Instance* WorkerSelector::warm_instance(Function& function, const Request& request, Millis now) {
+  Instance* best = nullptr;
+  double least = 0;
+  for (Instance& instance : function.instances) {
+    const WorkerIndex worker = instance.worker;
+    if (!has_free_slot(function, instance, now)) continue;
+    if (!admission_.is_worth_sending(request, worker, now)) continue;
+    if (!retries_.may_send(request, worker, now)) continue;
+    const bool was_tried = !request.attempts.empty() && request.attempts.back().worker == worker;
+    const double cost = limits_.cost(worker, now) * (was_tried ? kRetrySameCost : 1);
+    if (best != nullptr && cost >= least) continue;
+    best = &instance;
+    least = cost;
+  }
+  return best;
+}
+
+std::optional<WorkerIndex> WorkerSelector::load_candidate(Function& function, const Request& next,
+                                                          Millis now) {
+  placement_.update(function, now);
+  // Requests that overflow to workers past the replicas load instances that push out others. Workers that are
+  // unusable or warming up do not count as replicas that were met.
+  const Millis loaded_run(times_.load(function.times) + times_.unloaded_run(function.times));
+  const bool in_time = now + loaded_run <= next.objective_at;
+  const bool may_overflow = !has_many_invokers(settings_) || settings_.miss_is_answered || in_time;
+  const int class_index = function.times.class_index;
+  int met = 0;
+  for (const WorkerIndex worker : function.candidates.order) {
+    if (!may_overflow && met > kOverflowReplicas * function.candidates.replicas) return std::nullopt;
+    const bool healthy = outliers_.is_usable(worker, now) && outliers_.serves_class(worker, class_index, now);
+    if (healthy && !slow_start_.is_warming_up(worker, now)) ++met;
+    if (healthy && is_load_candidate(function, next, worker, now)) return worker;
+  }
+  return std::nullopt;
+}
+
+bool WorkerSelector::is_load_candidate(Function& function, const Request& next, WorkerIndex worker,
+                                       Millis now) {
+  if (!may_load(worker, now) || !limits_.has_room(worker, now)) return false;
+  const Instance* instance = function.find_instance(worker);
+  const bool has_instance =
+      instance != nullptr && (functions_.is_warm(*instance, now) || instance->loading > 0);
+  if (has_instance) return false;
+  if (!slow_start_.has_budget(worker, times_.work(next.class_index), now)) return false;
+  return admission_.is_worth_sending(next, worker, now);
+}
+
+bool WorkerSelector::may_load(WorkerIndex worker, Millis now) const {
+  if (!outliers_.is_usable(worker, now) || limits_.is_backing_off(worker, now)) return false;
+  return functions_.loads_in_flight() < kMostLoadsInFlight;
+}
+
+}  // namespace pathstack::policy
