--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -10,12 +10,12 @@
 #include <utility>
 #include <vector>
 
+#include "base/time.h"
 #include "net/buffer.h"
-#include "pathstack/policy.h"
 
 namespace pathstack::net {
 
-using pathstack::policy::Millis;
+using pathstack::Millis;
 
 class Handler {
  public:
