--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -83,7 +83,7 @@
       config_(read_file(config_file_)),
       log_(STDOUT_FILENO, counters_),
       errors_(STDERR_FILENO, counters_),
-      pool_(memory_quarter() / net::BufferPool::block_size),
+      pool_(memory_quarter() / net::BufferPool::kBlockSize),
       fleet_(loop_, pool_, counters_, host_limits(config_)),
       dispatcher_(
           config_.settings, [this] { return loop_.now(); }, fleet_, counters_),
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -9,14 +9,15 @@
 
 namespace pathstack::net {
 
-BufferPool::Lease BufferPool::take(const Outbox& asker) {
-  const bool exhausted = free_.empty() && made_ >= max_blocks_;
-  if (exhausted && !discard_largest(asker)) return Lease(nullptr, GiveBack{this});
+BufferPool::Lease BufferPool::take(const Outbox& requester) {
+  const ReturnToPool deleter{this};
+  const bool exhausted = free_.empty() && allocated_ >= max_blocks_;
+  if (exhausted && !discard_largest(requester)) return {nullptr, deleter};
   if (free_.empty()) {
-    ++made_;
-    return Lease(new Block, GiveBack{this});
+    ++allocated_;
+    return {new Block, deleter};
   }
-  Lease lease(free_.back().release(), GiveBack{this});
+  Lease lease(free_.back().release(), deleter);
   free_.pop_back();
   return lease;
 }
@@ -25,10 +26,10 @@
   outboxes_.erase(std::remove(outboxes_.begin(), outboxes_.end(), &outbox), outboxes_.end());
 }
 
-bool BufferPool::discard_largest(const Outbox& asker) {
+bool BufferPool::discard_largest(const Outbox& requester) {
   const auto fewer = [](const Outbox* a, const Outbox* b) { return a->blocks() < b->blocks(); };
   const auto largest = std::max_element(outboxes_.begin(), outboxes_.end(), fewer);
-  if (largest == outboxes_.end() || (*largest)->blocks() <= asker.blocks()) return false;
+  if (largest == outboxes_.end() || (*largest)->blocks() <= requester.blocks()) return false;
   (*largest)->discard();
   return true;
 }
@@ -48,14 +49,14 @@
 
 bool Outbox::append(std::string_view bytes) {
   while (!bytes.empty()) {
-    if (blocks_.empty() || tail_ == BufferPool::block_size) {
+    if (blocks_.empty() || tail_ == BufferPool::kBlockSize) {
       auto lease = pool_.take(*this);
       if (!lease) return false;
       if (blocks_.empty()) head_ = 0;
       blocks_.push_back(std::move(lease));
       tail_ = 0;
     }
-    const std::size_t part = std::min(bytes.size(), BufferPool::block_size - tail_);
+    const std::size_t part = std::min(bytes.size(), BufferPool::kBlockSize - tail_);
     std::memcpy(blocks_.back()->data() + tail_, bytes.data(), part);
     tail_ += part;
     appended_ += part;
@@ -64,13 +65,14 @@
   return true;
 }
 
-Outbox::Written Outbox::write_to(int fd) {
+Outbox::WriteStatus Outbox::write_to(int fd) {
   while (!blocks_.empty()) {
-    const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
+    const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::kBlockSize;
     const ssize_t sent = system_calls().send(fd, blocks_.front()->data() + head_, end - head_);
     if (sent < 0) {
       if (errno == EINTR) continue;
-      return errno == EAGAIN || errno == EWOULDBLOCK ? Written::some : Written::broken;
+      const bool would_block = errno == EAGAIN || errno == EWOULDBLOCK;
+      return would_block ? WriteStatus::partial : WriteStatus::failed;
     }
     written_ += static_cast<std::size_t>(sent);
     head_ += static_cast<std::size_t>(sent);
@@ -78,7 +80,7 @@
     blocks_.pop_front();
     head_ = 0;
   }
-  return Written::all;
+  return WriteStatus::complete;
 }
 
 }  // namespace pathstack::net
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -1,4 +1,4 @@
-// Buffers of one size from a pool, and the queue of bytes that a connection has yet to write.
+// Bounded memory for unwritten bytes: blocks of one size from a pool, and the queue of each connection.
 #pragma once
 
 #include <array>
@@ -15,40 +15,53 @@
 
 /// The memory in which bytes wait to be written, shared by all connections of the program and bounded.
 ///
-/// Once all blocks are out, the outbox that holds the most of them loses its own to whoever asks with fewer:
-/// a peer that reads nothing must not end the connection that happens to write next.
+/// Once all blocks are in use, the outbox that holds the most of them loses its own to whoever asks with
+/// fewer: a peer that reads nothing must not end the connection that happens to write next. Not thread-safe;
+/// outlives all its outboxes.
 class BufferPool {
  public:
-  static constexpr std::size_t block_size = std::size_t{16} * 1024;
-  using Block = std::array<char, block_size>;
-  struct GiveBack {
+  /// Bytes of a block.
+  static constexpr std::size_t kBlockSize = std::size_t{16} * 1024;
+  using Block = std::array<char, kBlockSize>;
+
+  /// Returns a block to its pool.
+  struct ReturnToPool {
     BufferPool* pool;
     void operator()(Block* block) const { pool->free_.emplace_back(block); }
   };
-  using Lease = std::unique_ptr<Block, GiveBack>;
+  /// The right to use a block, which goes back to the pool with it.
+  using Lease = std::unique_ptr<Block, ReturnToPool>;
 
+  /// Blocks are allocated on demand, at most `max_blocks`, and kept for reuse.
   explicit BufferPool(std::size_t max_blocks) : max_blocks_(max_blocks) {}
-  /// A block for `asker`, or nothing if all are out and `asker` holds as many as anyone. Cost: constant, or
-  /// the number of outboxes when all blocks are out.
-  Lease take(const Outbox& asker);
-  /// Blocks that are in use.
-  std::size_t out() const { return made_ - free_.size(); }
+
+  /// A block for `requester`; empty if all are in use and `requester` holds as many as anyone. Cost: O(1), or
+  /// the number of outboxes when all blocks are in use.
+  Lease take(const Outbox& requester);
+
+  /// The number of blocks in use.
+  std::size_t out() const { return allocated_ - free_.size(); }
 
  private:
   friend class Outbox;
-  std::size_t max_blocks_, made_ = 0;
+  std::size_t max_blocks_, allocated_ = 0;
   std::vector<std::unique_ptr<Block>> free_;
   std::vector<Outbox*> outboxes_;  // of all connections
 
   void add(Outbox& outbox) { outboxes_.push_back(&outbox); }
   void remove(Outbox& outbox);
-  bool discard_largest(const Outbox& asker);
+  bool discard_largest(const Outbox& requester);
 };
 
-/// The bytes that one connection has yet to write, in order.
+/// The bytes that one connection has yet to write, in order. Owned by its stream; not thread-safe.
 class Outbox {
  public:
-  enum class Written { all, some, broken };
+  /// What one call of `write_to` came to.
+  enum class WriteStatus {
+    complete,  // nothing is left to write
+    partial,   // the kernel takes no more for now
+    failed     // the connection is broken; errno has the reason
+  };
 
   /// `discarded` is called when the pool has taken this outbox's blocks for another one: the stream has a gap
   /// from then on and has to end. It must not write.
@@ -57,20 +70,31 @@
   Outbox(const Outbox&) = delete;
   Outbox& operator=(const Outbox&) = delete;
 
-  /// False if no buffer was to be had: a part may be missing, so the stream has to end.
+  /// False if no block was to be had: a part may be missing, so the stream has to end. Cost: linear in the
+  /// number of bytes.
   bool append(std::string_view bytes);
-  Written write_to(int fd);
+
+  /// Passes bytes to the socket until it takes no more.
+  WriteStatus write_to(int fd);
+
   bool empty() const { return appended_ == written_; }
+
+  /// The number of blocks held.
   std::size_t blocks() const { return blocks_.size(); }
-  std::uint64_t appended() const { return appended_; }  // offsets count from the connection's start
-  std::uint64_t written() const { return written_; }    // handed to the kernel
+
+  /// Bytes appended since the start of the connection.
+  std::uint64_t appended() const { return appended_; }
+
+  /// Bytes handed to the kernel since the start of the connection.
+  std::uint64_t written() const { return written_; }
 
  private:
   friend class BufferPool;
   BufferPool& pool_;
   std::function<void()> discarded_;
   std::deque<BufferPool::Lease> blocks_;
-  std::size_t head_ = 0, tail_ = 0;  // first unwritten byte of the first block, end of the last
+  std::size_t head_ = 0;  // the first unwritten byte, in the first block
+  std::size_t tail_ = 0;  // the end of what was appended, in the last block
   std::uint64_t appended_ = 0, written_ = 0;
 
   void discard();
--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -4,27 +4,40 @@
 #include <cstdlib>
 
 namespace pathstack::net {
+namespace {
+
+constexpr std::size_t kMaxDecimalDigits = 18;  // any more could overflow 64 bits
+constexpr std::size_t kHexDigits = 16;
+
+std::optional<std::uint64_t> hex_digit(char c) {
+  if (c >= '0' && c <= '9') return static_cast<std::uint64_t>(c - '0');
+  if (c >= 'a' && c <= 'f') return static_cast<std::uint64_t>(c - 'a') + 10;
+  return std::nullopt;
+}
+
+}  // namespace
 
 std::optional<Fields> parse_fields(std::string_view text, char between, char sign) {
-  Fields out;
+  Fields fields;
   while (!text.empty()) {
     const std::string_view item = text.substr(0, text.find(between));
     text.remove_prefix(item.size() == text.size() ? item.size() : item.size() + 1);
     const auto at = item.find(sign);
     if (at == std::string_view::npos || at == 0) return std::nullopt;
-    if (!out.emplace(item.substr(0, at), item.substr(at + 1)).second) return std::nullopt;
+    const bool is_new = fields.emplace(item.substr(0, at), item.substr(at + 1)).second;
+    if (!is_new) return std::nullopt;
   }
-  return out;
+  return fields;
 }
 
 const std::string& field(const Fields& fields, std::string_view name) {
-  static const std::string none;
+  static const std::string kNone;
   const auto found = fields.find(name);
-  return found == fields.end() ? none : found->second;
+  return found == fields.end() ? kNone : found->second;
 }
 
 std::optional<std::uint64_t> parse_whole(std::string_view digits, std::uint64_t most) {
-  if (digits.empty() || digits.size() > 18) return std::nullopt;
+  if (digits.empty() || digits.size() > kMaxDecimalDigits) return std::nullopt;
   std::uint64_t value = 0;
   for (const char c : digits) {
     if (c < '0' || c > '9') return std::nullopt;
@@ -35,12 +48,12 @@
 }
 
 std::optional<std::uint64_t> parse_hex16(std::string_view digits) {
-  if (digits.size() != 16) return std::nullopt;
+  if (digits.size() != kHexDigits) return std::nullopt;
   std::uint64_t value = 0;
   for (const char c : digits) {
-    const int digit = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-    if (digit < 0) return std::nullopt;
-    value = value << 4 | static_cast<std::uint64_t>(digit);
+    const auto digit = hex_digit(c);
+    if (!digit) return std::nullopt;
+    value = value << 4 | *digit;
   }
   return value;
 }
@@ -53,8 +66,8 @@
 }
 
 std::string hex16(std::uint64_t value) {
-  std::string out(16, '0');
-  for (std::size_t i = 16; i-- > 0; value >>= 4) out[i] = "0123456789abcdef"[value & 15];
+  std::string out(kHexDigits, '0');
+  for (std::size_t i = kHexDigits; i-- > 0; value >>= 4) out[i] = "0123456789abcdef"[value & 15];
   return out;
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -10,94 +10,116 @@
 namespace pathstack::net {
 namespace {
 
-constexpr double kLongestWait = 1000;
-constexpr double kFailedPollPause = 10;  // a poll(2) that fails returns at once, and would spin
+constexpr Millis kLongestWait{1000};
+constexpr Millis kFailedPollPause{10};  // a poll(2) that fails returns at once, and would spin
 
 template <typename Clock>
-double milliseconds() {
-  return Millis(Clock::now().time_since_epoch()).count();
+Millis time_of() {
+  return Clock::now().time_since_epoch();
 }
 
 }  // namespace
 
 Loop::Loop()
-    : offset_ms_(milliseconds<std::chrono::system_clock>() - milliseconds<std::chrono::steady_clock>()),
+    : wall_clock_offset_(time_of<std::chrono::system_clock>() - time_of<std::chrono::steady_clock>()),
       turn_began_(now()) {}
+
 Loop::~Loop() = default;
 
-Millis Loop::now() const { return Millis(milliseconds<std::chrono::steady_clock>() + offset_ms_); }
+Millis Loop::now() const { return time_of<std::chrono::steady_clock>() + wall_clock_offset_; }
 
 void Loop::watch(int fd, Handler& handler, short events) {
-  const auto place = static_cast<std::size_t>(fd);
-  if (place >= by_fd_.size()) by_fd_.resize(place + 1);
-  Entry& entry = by_fd_[place];
-  if (entry.handler != &handler) entry.serial = ++serial_;
+  const auto index = static_cast<std::size_t>(fd);
+  if (index >= by_fd_.size()) by_fd_.resize(index + 1);
+  Entry& entry = by_fd_[index];
+  if (entry.handler != &handler) entry.serial = ++last_serial_;
   entry.handler = &handler;
   entry.events = events;
 }
 
 void Loop::forget(int fd, Handler& handler) {
-  const auto place = static_cast<std::size_t>(fd);
-  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler) by_fd_[place] = Entry();
+  const auto index = static_cast<std::size_t>(fd);
+  if (fd >= 0 && index < by_fd_.size() && by_fd_[index].handler == &handler) by_fd_[index] = Entry();
   std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<Handler*>(nullptr));
 }
 
 void Loop::flush_later(Handler& handler) {
-  if (std::find(unflushed_.begin(), unflushed_.end(), &handler) == unflushed_.end()) {
-    unflushed_.push_back(&handler);
-  }
+  const bool is_due = std::find(unflushed_.begin(), unflushed_.end(), &handler) != unflushed_.end();
+  if (!is_due) unflushed_.push_back(&handler);
 }
 
-Loop::TimerId Loop::at(Millis when, std::function<void()> ring) {
-  const TimerId id{when.count(), ++serial_};
-  timers_.emplace(id, std::move(ring));
+Loop::TimerId Loop::at(Millis when, std::function<void()> callback) {
+  const TimerId id{when, ++last_serial_};
+  timers_.emplace(id, std::move(callback));
   return id;
 }
 
-void Loop::flush() {
-  // By index: a flush may queue more, and an ended handler leaves a gap.
-  for (std::size_t i = 0; i < unflushed_.size(); ++i) {
-    Handler* handler = std::exchange(unflushed_[i], nullptr);
-    if (handler != nullptr) handler->flush();
-  }
-  unflushed_.clear();
+void Loop::turn(Millis due, const std::function<void()>& decide) {
+  const Millis wait = wait_until(due);
+  collect_descriptors();
+  const int ready_count = wait_for_events(wait);
+  turn_began_ = now();
+  if (ready_count > 0) dispatch_events();
+  run_due_timers();
+  decide();
+  flush();
+  deferred_.clear();
 }
 
-int Loop::wait_for_events(double wait) {
-  const int found = system_calls().poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
-  if (found < 0 && errno != EINTR) {
-    pause_for(std::chrono::duration_cast<std::chrono::nanoseconds>(Millis(std::min(wait, kFailedPollPause))));
-  }
-  return found;
+Millis Loop::wait_until(Millis due) const {
+  const Millis until = timers_.empty() ? due : std::min(due, timers_.begin()->first.due);
+  return std::min(std::max(until - now(), Millis(0)), kLongestWait);
 }
 
-void Loop::turn(Millis due, const std::function<void()>& decide) {
-  double until = due.count();
-  if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
-  const double wait = std::min(std::max(until - now().count(), 0.0), kLongestWait);
+void Loop::collect_descriptors() {
   polled_.clear();
-  serials_.clear();
+  polled_serials_.clear();
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    if (by_fd_[fd].handler == nullptr) continue;
-    polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
-    serials_.push_back(by_fd_[fd].serial);
+    const Entry& entry = by_fd_[fd];
+    if (entry.handler == nullptr) continue;
+    polled_.push_back({static_cast<int>(fd), entry.events, 0});
+    polled_serials_.push_back(entry.serial);
   }
-  const int found = wait_for_events(wait);
-  turn_began_ = now();
-  for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
+}
+
+int Loop::wait_for_events(Millis wait) {
+  const int timeout_ms = static_cast<int>(std::ceil(wait.count()));
+  const int ready_count = system_calls().poll(polled_.data(), polled_.size(), timeout_ms);
+  if (ready_count < 0 && errno != EINTR) {
+    pause_for(std::chrono::duration_cast<std::chrono::nanoseconds>(std::min(wait, kFailedPollPause)));
+  }
+  return ready_count;
+}
+
+// A handler may end others, and what they close may be opened anew: such an entry has another serial, and the
+// events that were polled before are not its own.
+void Loop::dispatch_events() {
+  for (std::size_t i = 0; i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
     const Entry& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
-    if (entry.handler != nullptr && entry.serial == serials_[i]) entry.handler->ready(polled_[i].revents);
+    const bool is_same_user = entry.handler != nullptr && entry.serial == polled_serials_[i];
+    if (is_same_user) entry.handler->ready(polled_[i].revents);
   }
-  const double turn_at = now().count();
-  while (!timers_.empty() && timers_.begin()->first.first <= turn_at) {
-    const auto ring = std::move(timers_.begin()->second);
+}
+
+// One look at the clock: a timer that sets another for now must not keep the turn from ending.
+void Loop::run_due_timers() {
+  const Millis until = now();
+  while (!timers_.empty() && timers_.begin()->first.due <= until) {
+    const auto callback = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    ring();
+    callback();
   }
-  decide();
-  flush();
-  deferred_.clear();
+}
+
+void Loop::flush() {
+  // By index: a flush may queue more, and an ended handler leaves a gap.
+  std::size_t next = 0;
+  while (next < unflushed_.size()) {
+    Handler* handler = std::exchange(unflushed_[next++], nullptr);
+    if (handler != nullptr) handler->flush();
+  }
+  unflushed_.clear();
 }
 
 }  // namespace pathstack::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,7 +15,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kBacklog = 512;  // connections that the kernel accepts ahead of the program
+constexpr int kListenBacklog = 512;  // connections that the kernel accepts ahead of the program
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
@@ -43,7 +43,8 @@
   }
 }
 
-void no_delay(int fd) {
+// Answers are small and written once a turn: they must not wait for the acknowledgement of the last one.
+void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -86,7 +87,7 @@
   const int on = 1;
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return {Socket(), last_error()};
-  if (system_calls().listen(socket.fd(), kBacklog) != 0) return {Socket(), last_error()};
+  if (system_calls().listen(socket.fd(), kListenBacklog) != 0) return {Socket(), last_error()};
   return {std::move(socket), {}};
 }
 
@@ -111,11 +112,11 @@
   if (!at) return {Socket(), ConnectFault::address};
   Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return {Socket(), ConnectFault::local};
-  no_delay(socket.fd());
+  disable_nagle(socket.fd());
   const int result = system_calls().connect(socket.fd(), at->ai_addr, at->ai_addrlen);
   // A connect that a signal interrupts goes on, as a non-blocking one does.
-  const bool under_way = result == 0 || errno == EINPROGRESS || errno == EINTR;
-  if (!under_way) return {Socket(), connect_fault_of(errno)};
+  const bool in_progress = result == 0 || errno == EINPROGRESS || errno == EINTR;
+  if (!in_progress) return {Socket(), connect_fault_of(errno)};
   return {std::move(socket), ConnectFault::none};
 }
 
@@ -124,7 +125,7 @@
 AcceptResult accept_from(const Socket& listener) {
   Socket socket(system_calls().accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket) return {accept_failure(errno), Socket()};
-  no_delay(socket.fd());
+  disable_nagle(socket.fd());
   return {AcceptStatus::accepted, std::move(socket)};
 }
 
@@ -138,12 +139,12 @@
 std::string bound_address(const Socket& listener) {
   sockaddr_storage at{};
   socklen_t size = sizeof at;
-  char host[NI_MAXHOST], port[NI_MAXSERV];
-  auto* any = reinterpret_cast<sockaddr*>(&at);
-  if (getsockname(listener.fd(), any, &size) != 0) return {};
-  if (getnameinfo(any, size, host, sizeof host, port, sizeof port, NI_NUMERICHOST | NI_NUMERICSERV) != 0) {
-    return {};
-  }
+  char host[NI_MAXHOST];
+  char port[NI_MAXSERV];
+  auto* address = reinterpret_cast<sockaddr*>(&at);
+  if (getsockname(listener.fd(), address, &size) != 0) return {};
+  constexpr int numeric = NI_NUMERICHOST | NI_NUMERICSERV;
+  if (getnameinfo(address, size, host, sizeof host, port, sizeof port, numeric) != 0) return {};
   return std::string(host) + ":" + port;
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,6 @@
-// An owned descriptor, and the few ways in which the program opens one. All are non-blocking.
+// Owned descriptors, and the ways in which the program opens TCP sockets. All sockets are non-blocking and
+// closed on exec. Addresses are numeric, as host:port or [host]:port; names are never looked up, as that
+// would block the loop.
 #pragma once
 
 #include <string>
@@ -7,10 +9,13 @@
 
 namespace pathstack::net {
 
+/// Owns a descriptor and closes it. Whoever has the loop watch it has to forget it first.
 class Socket {
  public:
   Socket() = default;
   explicit Socket(int fd) : fd_(fd) {}
+  Socket(const Socket&) = delete;
+  Socket& operator=(const Socket&) = delete;
   ~Socket() { close(); }
   Socket(Socket&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Socket& operator=(Socket&& other) noexcept {
@@ -20,21 +25,27 @@
     }
     return *this;
   }
+
+  /// The descriptor; negative if there is none.
   int fd() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
+  /// Closes the descriptor now; no effect if there is none.
   void close();
 
  private:
   int fd_ = -1;
 };
 
+/// A listening socket, or why there is none.
 struct ListenResult {
   Socket socket;          // empty on an error
   std::error_code error;  // of socket(2), bind(2) or listen(2); invalid_argument for a faulty address
 };
 
-// Numeric addresses only, as host:port or [host]:port.
+/// Opens a listener; port 0 has the kernel choose one. Sets SO_REUSEADDR, so that a restart need not wait for
+/// connections of the last process to time out.
 ListenResult listen_on(const std::string& address);
+
 /// True for an error of listen_on that may be over in a moment: a lack of descriptors or memory, or an
 /// address that is still in use or not yet configured.
 bool is_transient_listen_error(const std::error_code& error);
@@ -50,14 +61,16 @@
   address
 };
 
+/// A connection that was begun, or why there is none.
 struct ConnectResult {
   Socket socket;  // empty unless `fault` is none
   ConnectFault fault = ConnectFault::none;
 };
 
-/// Begins a connection; the socket is writable once it is decided.
+/// Begins a connection; the socket is writable once it is made or has failed, see `pending_error`.
 ConnectResult begin_connect(const std::string& address);
-/// The same for callers that wait and try again whatever the fault was: an empty Socket.
+
+/// The same for callers that retry with backoff whatever the fault was: an empty socket stands for any.
 Socket connect_to(const std::string& address);
 
 /// What one accept(2) came to.
@@ -68,14 +81,22 @@
   retry_later,        // no descriptor or memory: the connection stays in the kernel's queue
 };
 
+/// An accepted connection, or why there is none.
 struct AcceptResult {
   AcceptStatus status = AcceptStatus::none_waiting;
   Socket socket;  // empty unless `status` is accepted
 };
 
+/// Accepts one connection that is waiting; doesn't wait for one.
 AcceptResult accept_from(const Socket& listener);
-int pending_error(const Socket& socket);  // of a connect that was decided
+
+/// The `errno` with which a connection attempt has failed; 0 if it succeeded. Clears it.
+int pending_error(const Socket& socket);
+
+/// The address to which a listener is bound; empty if the kernel doesn't say.
 std::string bound_address(const Socket& listener);
+
+/// True if `address` has the form that this module reads.
 bool valid_address(const std::string& address);
 
 }  // namespace pathstack::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kReadsATurn = 8;  // one busy peer must not keep the others waiting
+constexpr int kReadsPerTurn = 8;  // one busy peer must not keep the others waiting
 
 StreamEnd end_of_error(int error) {
   const bool by_peer = error == ECONNRESET || error == EPIPE || error == ECONNREFUSED;
@@ -21,7 +21,8 @@
     : loop_(loop),
       socket_(std::move(socket)),
       outbox_(pool, [this] { discarded(); }),
-      connecting_(connecting) {
+      phase_(connecting ? Phase::connecting : Phase::established) {
+  if (!socket_) phase_ = Phase::closed;
   if (socket_) watch();
 }
 
@@ -31,33 +32,34 @@
 }
 
 void Stream::watch() {
-  const bool writes = connecting_ || !outbox_.empty();
-  loop_.watch(socket_.fd(), *this, static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)));
+  const bool reads = !connecting();
+  const bool writes = connecting() || !outbox_.empty();
+  loop_.watch(socket_.fd(), *this, static_cast<short>((reads ? POLLIN : 0) | (writes ? POLLOUT : 0)));
 }
 
 void Stream::write(std::string_view bytes) {
   if (ending()) return;
   // A stream with a gap cannot be understood: it ends.
   if (!outbox_.append(bytes)) return end_later();
-  if (!connecting_) loop_.flush_later(*this);
+  if (!connecting()) loop_.flush_later(*this);
 }
 
 bool Stream::flush_now() {
-  if (connecting_ || ending()) return false;
-  const auto written = outbox_.write_to(socket_.fd());
-  if (written == Outbox::Written::broken) {
+  if (connecting() || ending()) return false;
+  const auto status = outbox_.write_to(socket_.fd());
+  if (status == Outbox::WriteStatus::failed) {
     note_end(end_of_error(errno));
     end_later();
     return false;
   }
   watch();
-  return written == Outbox::Written::all;
+  return status == Outbox::WriteStatus::complete;
 }
 
 void Stream::flush() {
-  if (!ending_) flush_now();
+  if (!end_requested_) flush_now();
   if (ends_when_written_ && outbox_.empty() && !ending()) linger();
-  if (ending_) end();
+  if (end_requested_) end();
 }
 
 // Closing with unread input sends a reset, which discards what the peer has not received yet. So sending is
@@ -65,22 +67,23 @@
 void Stream::linger() {
   const bool nothing_to_lose = outbox_.appended() == 0;
   if (nothing_to_lose || system_calls().shutdown(socket_.fd(), SHUT_WR) != 0) {
-    ending_ = true;
+    end_requested_ = true;
     return;
   }
-  lingers_ = discards_input_ = true;
+  phase_ = Phase::lingering;
+  discards_input_ = true;
   linger_timer_ = loop_.at(loop_.now() + kLingerTimeout, [this] { end_later(); });
 }
 
 void Stream::discard_input(std::size_t size) {
-  if (!lingers_) return;
+  if (phase_ != Phase::lingering) return;
   discarded_after_shutdown_ += size;
   if (discarded_after_shutdown_ > kLingerMaxBytes) end_later();
 }
 
 void Stream::end_later() {
   if (!socket_) return;
-  ending_ = true;
+  end_requested_ = true;
   loop_.flush_later(*this);
 }
 
@@ -110,19 +113,19 @@
   loop_.cancel(linger_timer_);
   loop_.forget(socket_.fd(), *this);
   socket_.close();
-  connecting_ = false;
+  phase_ = Phase::closed;
   ended();
 }
 
 void Stream::ready(short events) {
-  if (connecting_) {
+  if (connecting()) {
     const int error = pending_error(socket_);
     if (error != 0 || (events & (POLLERR | POLLNVAL)) != 0) {
       note_end(end_of_error(error));
       return end();
     }
     if ((events & POLLOUT) == 0) return;
-    connecting_ = false;
+    phase_ = Phase::established;
     watch();
     return connected();
   }
@@ -132,7 +135,7 @@
 
 void Stream::read() {
   auto& block = loop_.read_buffer();
-  for (int i = 0; i < kReadsATurn && socket_ && !ending_; ++i) {
+  for (int i = 0; i < kReadsPerTurn && socket_ && !end_requested_; ++i) {
     const ssize_t got = system_calls().receive(socket_.fd(), block.data(), block.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
--- a/tests/invoker/net_test.cpp
+++ b/tests/invoker/net_test.cpp
@@ -28,7 +28,7 @@
     const std::string part(below(random, 3000), static_cast<char>('a' + round % 26));
     sent += part;
     REQUIRE(box.append(part));
-    if (below(random, 2) == 0) CHECK(box.write_to(out.fd()) != net::Outbox::Written::broken);
+    if (below(random, 2) == 0) CHECK(box.write_to(out.fd()) != net::Outbox::WriteStatus::failed);
     if (below(random, 2) == 0) read();
     while (pool.out() > 4) {
       box.write_to(out.fd());
@@ -45,28 +45,28 @@
   CHECK(pool.out() == 0);
 }
 
-TEST_CASE("the pool's bound holds, and a write past it is told") {
+TEST_CASE("the pool's bound holds, and a write past it is reported") {
   net::BufferPool pool(2);
   {
     net::Outbox box(pool);
-    CHECK(box.append(std::string(2 * net::BufferPool::block_size, 'x')));
+    CHECK(box.append(std::string(2 * net::BufferPool::kBlockSize, 'x')));
     CHECK_FALSE(box.append("x"));
     CHECK(pool.out() == 2);
   }
   CHECK(pool.out() == 0);
 }
 
-TEST_CASE("timers ring in their order; one taken back does not ring") {
+TEST_CASE("timers fire in their order; one that was cancelled does not fire") {
   net::Loop loop;
-  std::string rung;
+  std::string fired;
   const Millis now = loop.now();
-  loop.at(now + Millis(3), [&] { rung += 'c'; });
-  loop.at(now + Millis(1), [&] { rung += 'a'; });
-  const auto taken_back = loop.at(now + Millis(2), [&] { rung += 'x'; });
-  loop.at(now + Millis(2), [&] { rung += 'b'; });
-  loop.cancel(taken_back);
-  for (int i = 0; i < 1000 && rung.size() < 3; ++i) loop.turn(now + Millis(10), [] {});
-  CHECK(rung == "abc");
+  loop.at(now + Millis(3), [&] { fired += 'c'; });
+  loop.at(now + Millis(1), [&] { fired += 'a'; });
+  const auto cancelled = loop.at(now + Millis(2), [&] { fired += 'x'; });
+  loop.at(now + Millis(2), [&] { fired += 'b'; });
+  loop.cancel(cancelled);
+  for (int i = 0; i < 1000 && fired.size() < 3; ++i) loop.turn(now + Millis(10), [] {});
+  CHECK(fired == "abc");
 }
 
 }  // namespace
