--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -107,14 +107,14 @@
   dispatcher_.members(std::move(entries));
 }
 
-feed::Log Invoker::take_known_events() {
-  feed::Log log;
+feed::EventSequence Invoker::take_known_events() {
+  feed::EventSequence log;
   for (auto& event : std::exchange(config_.known_events, {})) {
     core::MemberList list;
-    const auto read = log.event(std::move(event), list);
-    if (read == feed::Log::Read::news) {
+    const auto read = log.read_event(std::move(event), list);
+    if (read == feed::EventSequence::Result::update) {
       update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
-    } else if (read != feed::Log::Read::nothing) {
+    } else if (read != feed::EventSequence::Result::no_update) {
       counters_.add(core::Counter::feed_known_unread);
       errors_.write_line("pathstack-invoker: known: an event cannot be read; asking the change log from " +
                          std::to_string(log.last()));
@@ -126,7 +126,7 @@
 }
 
 void Invoker::start_membership() {
-  const feed::Log log = take_known_events();
+  const feed::EventSequence log = take_known_events();
   const auto on_update = [this](const core::MemberList& list) {
     update_members(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -13,7 +13,7 @@
 #include "core/dispatcher.h"
 #include "core/log_writer.h"
 #include "core/shutdown.h"
-#include "feed/feed.h"
+#include "feed/membership_client.h"
 #include "hosts/fleet.h"
 #include "net/loop.h"
 #include "resp/front.h"
@@ -47,7 +47,7 @@
   core::Dispatcher dispatcher_;
   core::Shutdown shutdown_;
   resp::Front front_;
-  std::optional<feed::Feed> feed_;
+  std::optional<feed::MembershipClient> feed_;
   std::optional<xds::HostFile> host_file_;
   std::optional<amqp::Front> triggers_;
   Reloader reloader_;
@@ -58,7 +58,7 @@
   /// and on one line of the change log.
   std::size_t memory_quarter() const { return (config_.memory_mb << 20) / 4; }
 
-  feed::Log take_known_events();
+  feed::EventSequence take_known_events();
   void start_membership();
   /// Retries an error that may be over in a moment; throws config::ConfigError for any other.
   void start_listening();
--- a/src/feed/feed.cpp
+++ b/src/feed/membership_client.cpp
@@ -1,4 +1,4 @@
-#include "feed/feed.h"
+#include "feed/membership_client.h"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 using core::Millis;
 
-bool LineCutter::take(std::string_view bytes, std::vector<std::string>& out) {
+bool LineSplitter::take(std::string_view bytes, std::vector<std::string>& out) {
   while (!bytes.empty()) {
     const auto end = bytes.find('\n');
     line_.append(bytes.substr(0, end));
@@ -22,35 +22,36 @@
   return true;
 }
 
-Log::Read Log::line(const std::string& line, core::MemberList& out) {
+EventSequence::Result EventSequence::read_line(const std::string& line, core::MemberList& out) {
   auto read = config::read_membership_line(line);
-  if (read.number) return *read.number > last_ ? Read::gap : Read::nothing;
-  return read.event ? event(std::move(*read.event), out) : Read::malformed;
+  if (read.number) return *read.number > last_ ? Result::gap : Result::no_update;
+  return read.event ? read_event(std::move(*read.event), out) : Result::malformed;
 }
 
-Log::Read Log::event(config::MembershipEvent&& event, core::MemberList& out) {
-  if (!event.seq) return Read::malformed;
+EventSequence::Result EventSequence::read_event(config::MembershipEvent&& event, core::MemberList& out) {
+  if (!event.seq) return Result::malformed;
   const std::uint64_t seq = *event.seq;
-  if (seq <= last_) return Read::nothing;
-  if (seq != last_ + 1 && !event.list.complete) return Read::gap;  // a whole list makes up for all before it
-  if (event.malformed) return Read::malformed;
+  if (seq <= last_) return Result::no_update;
+  if (seq != last_ + 1 && !event.list.complete)
+    return Result::gap;  // a whole list makes up for all before it
+  if (event.malformed) return Result::malformed;
   last_ = seq;
-  if (!event.has_members) return Read::nothing;  // a kind of event that is none of ours
+  if (!event.has_members) return Result::no_update;  // a kind of event that is none of ours
   out = std::move(event.list);
-  return Read::news;
+  return Result::update;
 }
 
-class Feed::Connection final : public net::Stream {
+class MembershipClient::Connection final : public net::Stream {
  public:
-  Connection(Feed& feed, net::Socket socket)
+  Connection(MembershipClient& feed, net::Socket socket)
       : Stream(feed.loop_, feed.pool_, std::move(socket), true), feed_(feed), cutter_(feed.max_event_) {
     start_timer(silence_, feed_.timeouts_.connect, [this] { give_up(core::Counter::feed_connect_late); });
   }
   ~Connection() override { cancel_timers(); }
 
  private:
-  Feed& feed_;
-  LineCutter cutter_;
+  MembershipClient& feed_;
+  LineSplitter cutter_;
   net::Loop::TimerId silence_{};  // rings when no byte has come for too long, or the connection is not made
   net::Loop::TimerId line_{};     // rings when no complete line has come for too long
 
@@ -69,14 +70,14 @@
   // Danger: a log that stops half-way through an event is as silent as one that says nothing.
   void expect_bytes() {
     start_timer(silence_, feed_.patience_.silence(), [this] {
-      if (current()) feed_.patience_.silence_ran_out();
+      if (current()) feed_.patience_.silence_expired();
       give_up(core::Counter::feed_quiet);
     });
   }
   // Danger: a log may trickle for ever within one line.
   void expect_line() {
     start_timer(line_, feed_.patience_.line(), [this] {
-      if (current()) feed_.patience_.line_ran_out();
+      if (current()) feed_.patience_.line_expired();
       give_up(core::Counter::feed_line_late);
     });
   }
@@ -100,11 +101,11 @@
   // False for a line that cannot be understood, or that shows that one before it is missing.
   bool take(const std::string& line) {
     core::MemberList list;
-    const auto read = feed_.log_.line(line, list);
-    if (read != Log::Read::news && read != Log::Read::nothing) return false;
+    const auto read = feed_.log_.read_line(line, list);
+    if (read != EventSequence::Result::update && read != EventSequence::Result::no_update) return false;
     feed_.backoff_.reset();
     feed_.patience_.line_received();
-    if (read == Log::Read::nothing) return true;
+    if (read == EventSequence::Result::no_update) return true;
     feed_.patience_.update_received();
     feed_.counters_.add(core::Counter::feed_events);
     feed_.told_(list);
@@ -121,8 +122,9 @@
   bool current() const { return feed_.connection_.get() == this; }  // false: the log has moved on
 };
 
-Feed::Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-           Told told, std::size_t max_event, std::uint64_t seed, Timeouts timeouts)
+MembershipClient::MembershipClient(net::Loop& loop, net::BufferPool& pool, core::Counters& counters,
+                                   std::string address, EventSequence log, Told told, std::size_t max_event,
+                                   std::uint64_t seed, Timeouts timeouts)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
@@ -134,9 +136,9 @@
       backoff_(timeouts.backoff_first, timeouts.backoff_most, seed),
       patience_(timeouts) {}
 
-Feed::~Feed() { loop_.cancel(timer_); }
+MembershipClient::~MembershipClient() { loop_.cancel(timer_); }
 
-void Feed::connect() {
+void MembershipClient::connect() {
   net::Socket socket = net::connect_to(address_);
   if (!socket) return again();
   connection_ = std::make_shared<Connection>(*this, std::move(socket));
@@ -144,7 +146,7 @@
 
 // Danger: the old address tells nothing more but stays open a while, and looks well. The new one is asked at
 // once: what it has to tell counts as told before long.
-void Feed::move(const std::string& address) {
+void MembershipClient::move(const std::string& address) {
   if (address == address_) return;
   counters_.add(core::Counter::feed_moves);
   address_ = address;
@@ -156,11 +158,11 @@
   }
   loop_.cancel(timer_);
   backoff_.reset();
-  patience_ = Patience(timeouts_);
+  patience_ = StalenessTimeout(timeouts_);
   connect();
 }
 
-void Feed::again() {
+void MembershipClient::again() {
   if (connection_) loop_.defer_destruction(std::move(connection_));
   connection_.reset();
   loop_.cancel(timer_);
--- a/src/feed/feed.h
+++ b/src/feed/membership_client.h
@@ -18,12 +18,12 @@
 
 namespace pathstack::feed {
 
-constexpr std::size_t kDefaultMaxEvent = 1U << 20;  // bytes of a line of the change log
+constexpr std::size_t kDefaultMaxEventBytes = 1U << 20;  // bytes of a line of the change log
 
 /// Cuts bytes into lines, in whatever pieces they come.
-class LineCutter {
+class LineSplitter {
  public:
-  explicit LineCutter(std::size_t max_line = kDefaultMaxEvent) : max_line_(max_line) {}
+  explicit LineSplitter(std::size_t max_line = kDefaultMaxEventBytes) : max_line_(max_line) {}
   /// False once a line is longer than `max_line` bytes.
   bool take(std::string_view bytes, std::vector<std::string>& out);
 
@@ -33,12 +33,12 @@
 };
 
 // Reads events and keeps their numbers: repeats are passed over, a gap is told.
-class Log {
+class EventSequence {
  public:
-  enum class Read { news, nothing, gap, malformed };
-  explicit Log(std::uint64_t last = 0) : last_(last) {}
-  Read line(const std::string& line, core::MemberList& out);
-  Read event(config::MembershipEvent&& event, core::MemberList& out);
+  enum class Result { update, no_update, gap, malformed };
+  explicit EventSequence(std::uint64_t last = 0) : last_(last) {}
+  Result read_line(const std::string& line, core::MemberList& out);
+  Result read_event(config::MembershipEvent&& event, core::MemberList& out);
   std::uint64_t last() const { return last_; }
   void skip_to(std::uint64_t seq) { last_ = std::max(last_, seq); }
 
@@ -46,15 +46,15 @@
   std::uint64_t last_;
 };
 
-class Feed {
+class MembershipClient {
  public:
   using Told = std::function<void(const core::MemberList&)>;
   /// `seed` is that of the jitter between connections.
   /// A line of more than `max_event` bytes ends the connection; a whole list of hosts is one line.
-  Feed(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-       Told told, std::size_t max_event = kDefaultMaxEvent, std::uint64_t seed = 0,
-       Timeouts timeouts = Timeouts());
-  ~Feed();
+  MembershipClient(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
+                   EventSequence log, Told told, std::size_t max_event = kDefaultMaxEventBytes,
+                   std::uint64_t seed = 0, Timeouts timeouts = Timeouts());
+  ~MembershipClient();
   void start() { connect(); }
   // The log goes on at another address, under the same numbers.
   void move(const std::string& address);
@@ -65,14 +65,14 @@
   net::BufferPool& pool_;
   core::Counters& counters_;
   std::string address_;
-  Log log_;
+  EventSequence log_;
   Told told_;
   std::size_t max_event_;
   std::shared_ptr<Connection> connection_;
   net::Loop::TimerId timer_{};
   Timeouts timeouts_;
   Backoff backoff_;
-  Patience patience_;
+  StalenessTimeout patience_;
 
   void connect();
   void again();
--- a/src/feed/retry.h
+++ b/src/feed/retry.h
@@ -45,9 +45,9 @@
 
 /// What a connection is given before it counts as stopped. A wait that was too short for a crowded log would
 /// be so each time, and its list never read: each wait that runs out doubles the next one, up to its bound.
-class Patience {
+class StalenessTimeout {
  public:
-  explicit Patience(const Timeouts& timeouts)
+  explicit StalenessTimeout(const Timeouts& timeouts)
       : timeouts_(timeouts), silence_(timeouts.silence_first), line_(timeouts.line_first) {}
 
   /// The longest time with no byte.
@@ -55,8 +55,8 @@
   /// The longest time with no complete line, while bytes come.
   core::Millis line() const { return line_; }
 
-  void silence_ran_out() { silence_ = std::min(silence_ * 2, timeouts_.silence_most); }
-  void line_ran_out() { line_ = std::min(line_ * 2, timeouts_.line_most); }
+  void silence_expired() { silence_ = std::min(silence_ * 2, timeouts_.silence_most); }
+  void line_expired() { line_ = std::min(line_ * 2, timeouts_.line_most); }
   void line_received() { silence_ = timeouts_.silence_first; }
   /// Not for a repeated event or a number: these may come ahead of the list that takes long, each time anew.
   void update_received() { line_ = timeouts_.line_first; }
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -8,7 +8,7 @@
 #include <list>
 
 #include "app/signal_pipe.h"
-#include "feed/feed.h"
+#include "feed/membership_client.h"
 #include "net/fields.h"
 #include "net/system_calls.h"
 #include "resp/front.h"
@@ -324,8 +324,8 @@
   StandInLog log(loop, pool);
   log.breaks_off = false;
   std::size_t events = 0;
-  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
-                  [&](const core::MemberList&) { ++events; });
+  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                              [&](const core::MemberList&) { ++events; });
   FailingCalls calls;
   const net::ScopedSystemCalls scope(calls);
   calls.socket_errors = {ENFILE};
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -1,10 +1,9 @@
 // The change log over connections that break.
-#include "feed/feed.h"
-
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <memory>
 
+#include "feed/membership_client.h"
 #include "net/system_calls.h"
 #include "support/settings.h"
 #include "support/stand_in_log.h"
@@ -19,10 +18,10 @@
   StandInLog log(loop, pool);
   std::vector<std::string> told, all;
   for (int i = 4; i <= 20; ++i) all.push_back("s" + std::to_string(i));
-  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(3),
-                  [&](const core::MemberList& list) {
-                    for (const auto& m : list.members) told.push_back(m.entry.worker);
-                  });
+  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(3),
+                              [&](const core::MemberList& list) {
+                                for (const auto& m : list.members) told.push_back(m.entry.worker);
+                              });
   feed.start();
   for (int i = 0; i < 5000 && told.size() < all.size(); ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(told == all);
@@ -39,8 +38,9 @@
   old.events = 3;
   old.stays_open = true;
   std::vector<std::string> told;
-  feed::Feed feed(loop, pool, counters, old.server.address(), feed::Log(3),
-                  [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
+  feed::MembershipClient feed(
+      loop, pool, counters, old.server.address(), feed::EventSequence(3),
+      [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
     return until();
@@ -64,8 +64,8 @@
   log.events = 1;
   log.stays_open = true;
   std::size_t told = 0;
-  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
-                  [&](const core::MemberList&) { ++told; });
+  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                              [&](const core::MemberList&) { ++told; });
   feed.start();
   Millis next = loop.now();
   for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
@@ -90,8 +90,9 @@
   log.breaks_off = false;
   log.stays_open = true;
   std::vector<std::string> told;
-  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
-                  [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
+  feed::MembershipClient feed(
+      loop, pool, counters, log.server.address(), feed::EventSequence(0),
+      [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
   feed.start();
   for (int i = 0; i < 5000 && told.size() < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(told == std::vector<std::string>{"s1", "s2", "s3", "s4"});
@@ -120,11 +121,11 @@
   log.events = 0;
   log.breaks_off = false;
   const std::string text = whole_list(kHosts);
-  REQUIRE(text.size() > feed::kDefaultMaxEvent);
+  REQUIRE(text.size() > feed::kDefaultMaxEventBytes);
   log.replies = {text.substr(0, text.size() / 2), text};
   std::vector<core::MemberList> told;
-  feed::Feed feed(
-      loop, pool, counters, log.server.address(), feed::Log(0),
+  feed::MembershipClient feed(
+      loop, pool, counters, log.server.address(), feed::EventSequence(0),
       [&](const core::MemberList& list) { told.push_back(list); }, 16U << 20);
   feed.start();
   for (int i = 0; i < 5000 && told.empty(); ++i) loop.turn(loop.now() + Millis(20), [] {});
@@ -141,13 +142,13 @@
   };
   const std::string large = R"({"id":"s","phase":"ready","note":")" + std::string(70000, 'x') + "\"}";
   const std::string fits = R"({"id":"s","phase":"ready","note":")" + std::string(60000, 'x') + "\"}";
-  feed::Log log;
+  feed::EventSequence log;
   core::MemberList out;
-  CHECK(log.line(list(large), out) == feed::Log::Read::malformed);
+  CHECK(log.read_line(list(large), out) == feed::EventSequence::Result::malformed);
   CHECK(log.last() == 0);
-  CHECK(log.line(list(fits), out) == feed::Log::Read::news);
+  CHECK(log.read_line(list(fits), out) == feed::EventSequence::Result::update);
   CHECK(out.members.size() == 2);
-  CHECK(log.line(list(fits).substr(0, 100), out) == feed::Log::Read::malformed);
+  CHECK(log.read_line(list(fits).substr(0, 100), out) == feed::EventSequence::Result::malformed);
 }
 
 // A log that is crowded: it answers each `since` with the same text, a piece every few milliseconds.
@@ -192,9 +193,10 @@
   feed::Timeouts timeouts;
   timeouts.line_first = Millis(200);
   std::vector<core::MemberList> updates;
-  feed::Feed feed(
-      loop, pool, counters, log.server.address(), feed::Log(0),
-      [&](const core::MemberList& list) { updates.push_back(list); }, feed::kDefaultMaxEvent, 7, timeouts);
+  feed::MembershipClient feed(
+      loop, pool, counters, log.server.address(), feed::EventSequence(0),
+      [&](const core::MemberList& list) { updates.push_back(list); }, feed::kDefaultMaxEventBytes, 7,
+      timeouts);
   feed.start();
   const Millis end = loop.now() + Millis(20000);
   while (updates.empty() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
@@ -205,16 +207,16 @@
 }
 
 TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
-  feed::Patience patience{feed::Timeouts()};
+  feed::StalenessTimeout patience{feed::Timeouts()};
   CHECK(patience.silence() == Millis(1600));
-  patience.silence_ran_out();
+  patience.silence_expired();
   CHECK(patience.line() == Millis(1600));
-  for (int i = 0; i < 20; ++i) patience.silence_ran_out();
+  for (int i = 0; i < 20; ++i) patience.silence_expired();
   // What a log that stopped would have told counts as received 4 s later.
   CHECK(patience.silence() == Millis(3000));
-  patience.line_ran_out();
+  patience.line_expired();
   CHECK(patience.line() == Millis(3200));
-  for (int i = 0; i < 20; ++i) patience.line_ran_out();
+  for (int i = 0; i < 20; ++i) patience.line_expired();
   CHECK(patience.line() == Millis(60000));
   patience.line_received();
   CHECK(patience.silence() == Millis(1600));
@@ -269,8 +271,8 @@
   UnreachableAtFirst calls;
   const net::ScopedSystemCalls scope(calls);
   std::size_t updates = 0;
-  feed::Feed feed(loop, pool, counters, log.server.address(), feed::Log(0),
-                  [&](const core::MemberList&) { ++updates; });
+  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                              [&](const core::MemberList&) { ++updates; });
   const Millis began = loop.now();
   feed.start();
   CHECK(calls.connects == 1);
@@ -295,8 +297,9 @@
   }
   std::vector<std::string> updates, all;
   for (int i = 1; i <= 20; ++i) all.push_back("s" + std::to_string(i));
-  feed::Feed feed(loop, pool, counters, first.server.address(), feed::Log(0),
-                  [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
+  feed::MembershipClient feed(
+      loop, pool, counters, first.server.address(), feed::EventSequence(0),
+      [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
     return until();
--- a/tests/invoker/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -4,7 +4,7 @@
 #include "amqp/content_header.h"
 #include "amqp/field_codec.h"
 #include "amqp/frame.h"
-#include "feed/feed.h"
+#include "feed/membership_client.h"
 #include "hosts/line_parser.h"
 #include "net/fields.h"
 #include "resp/parser.h"
@@ -136,16 +136,16 @@
     parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
     parse_cut<amqp::FrameParser, amqp::Frame>(random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)),
                                               sound);
-    parse_cut<feed::LineCutter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
+    parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
     amqp::decode_content_header(std::string("\0\x3C\0\0", 4) +
                                 garbage(random, std::string("\0\1FAStx\xFF", 8)));
     const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
     amqp::ArgumentReader reader(wild);
     reader.table();
     net::parse_fields(garbage(random, "a=b,;:"));
-    feed::Log log;
+    feed::EventSequence log;
     core::MemberList list;
-    log.line(R"({"seq":1,"fleet":{"members":[)" + garbage(random, "{}\"id:,") + "]}}", list);
+    log.read_line(R"({"seq":1,"fleet":{"members":[)" + garbage(random, "{}\"id:,") + "]}}", list);
   }
 }
 
@@ -155,25 +155,26 @@
            R"(,"fleet":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:9",)"
            R"("phase":"draining","up_since_ms":5}]}})";
   };
-  feed::Log log(3);
+  feed::EventSequence log(3);
   core::MemberList list;
-  CHECK(log.line(event(4), list) == feed::Log::Read::news);
+  CHECK(log.read_line(event(4), list) == feed::EventSequence::Result::update);
   REQUIRE(list.members.size() == 1);
   CHECK(list.members[0].entry.state == core::WorkerState::draining);
   CHECK(list.members[0].entry.started == Millis(5));
-  CHECK(log.line(event(4), list) == feed::Log::Read::nothing);
-  CHECK(log.line("4", list) == feed::Log::Read::nothing);
-  CHECK(log.line("6", list) == feed::Log::Read::gap);
-  CHECK(log.line(event(6), list) == feed::Log::Read::gap);
-  CHECK(log.line("{", list) == feed::Log::Read::malformed);
+  CHECK(log.read_line(event(4), list) == feed::EventSequence::Result::no_update);
+  CHECK(log.read_line("4", list) == feed::EventSequence::Result::no_update);
+  CHECK(log.read_line("6", list) == feed::EventSequence::Result::gap);
+  CHECK(log.read_line(event(6), list) == feed::EventSequence::Result::gap);
+  CHECK(log.read_line("{", list) == feed::EventSequence::Result::malformed);
   for (const char* bad :
        {R"({"fleet":{"members":[]}})", R"({"seq":5,"fleet":7})", R"({"seq":5,"fleet":{"members":{}}})",
         R"({"seq":5,"fleet":{"members":[7]}})", R"({"seq":5,"fleet":{"members":[{"id":"s"}]}})"}) {
-    CHECK(log.line(bad, list) == feed::Log::Read::malformed);
+    CHECK(log.read_line(bad, list) == feed::EventSequence::Result::malformed);
   }
   CHECK(log.last() == 4);
-  CHECK(log.line(R"({"seq":5,"tariff":{}})", list) == feed::Log::Read::nothing);
-  CHECK(log.line(R"({"seq":9,"fleet":{"complete":true,"members":[]}})", list) == feed::Log::Read::news);
+  CHECK(log.read_line(R"({"seq":5,"tariff":{}})", list) == feed::EventSequence::Result::no_update);
+  CHECK(log.read_line(R"({"seq":9,"fleet":{"complete":true,"members":[]}})", list) ==
+        feed::EventSequence::Result::update);
   CHECK(log.last() == 9);
 }
 
--- a/tests/invoker/support/stand_in_log.h
+++ b/tests/invoker/support/stand_in_log.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "feed/feed.h"
+#include "feed/membership_client.h"
 #include "support/random.h"
 #include "support/server.h"
 
@@ -23,7 +23,7 @@
 
    private:
     StandInLog& log_;
-    feed::LineCutter cutter_;
+    feed::LineSplitter cutter_;
     void received(std::string_view bytes) override {
       std::vector<std::string> lines;
       REQUIRE(cutter_.take(bytes, lines));
