--- a/src/feed/membership_client.h
+++ b/src/feed/membership_client.h
@@ -1,81 +1,74 @@
-// The change log: what was known at the start, then every later event once, in order, over connections that
-// are made again as often as they break.
+// The client of the membership log, which the platform calls the change log.
 #pragma once
 
-#include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
-#include <vector>
 
-#include "config/membership_events.h"
 #include "core/counters.h"
 #include "core/member.h"
-#include "feed/retry.h"
+#include "feed/backoff.h"
+#include "feed/event_sequence.h"
+#include "feed/line_splitter.h"
+#include "feed/staleness_timeout.h"
+#include "feed/timeouts.h"
+#include "feed/watch_connection.h"
 #include "net/loop.h"
-#include "net/stream.h"
 
 namespace pathstack::feed {
 
-constexpr std::size_t kDefaultMaxEventBytes = 1U << 20;  // bytes of a line of the change log
-
-/// Cuts bytes into lines, in whatever pieces they come.
-class LineSplitter {
+/// Watches the list of hosts: reports every event after the last one known, once and in order, over
+/// connections that are made again with backoff as often as they break or go stale.
+///
+/// Runs on the loop's thread; destroyed before the loop.
+class MembershipClient final : private WatchOwner {
  public:
-  explicit LineSplitter(std::size_t max_line = kDefaultMaxEventBytes) : max_line_(max_line) {}
-  /// False once a line is longer than `max_line` bytes.
-  bool take(std::string_view bytes, std::vector<std::string>& out);
-
- private:
-  std::size_t max_line_;
-  std::string line_;
-};
+  /// Receives the hosts of one event: all of them if `complete`, else those that have changed.
+  using OnUpdate = std::function<void(const core::MemberList&)>;
 
-// Reads events and keeps their numbers: repeats are passed over, a gap is told.
-class EventSequence {
- public:
-  enum class Result { update, no_update, gap, malformed };
-  explicit EventSequence(std::uint64_t last = 0) : last_(last) {}
-  Result read_line(const std::string& line, core::MemberList& out);
-  Result read_event(config::MembershipEvent&& event, core::MemberList& out);
-  std::uint64_t last() const { return last_; }
-  void skip_to(std::uint64_t seq) { last_ = std::max(last_, seq); }
-
- private:
-  std::uint64_t last_;
-};
-
-class MembershipClient {
- public:
-  using Told = std::function<void(const core::MemberList&)>;
-  /// `seed` is that of the jitter between connections.
-  /// A line of more than `max_event` bytes ends the connection; a whole list of hosts is one line.
+  /// `known`: the events that are known already. A line of more than `max_event_bytes` ends the connection; a
+  /// complete list of hosts is one line. `seed` is that of the backoff's jitter.
   MembershipClient(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
-                   EventSequence log, Told told, std::size_t max_event = kDefaultMaxEventBytes,
-                   std::uint64_t seed = 0, Timeouts timeouts = Timeouts());
-  ~MembershipClient();
+                   EventSequence known, OnUpdate on_update,
+                   std::size_t max_event_bytes = kDefaultMaxEventBytes, std::uint64_t seed = 0,
+                   const Timeouts& timeouts = Timeouts());
+  ~MembershipClient() override;
+  MembershipClient(const MembershipClient&) = delete;
+  MembershipClient& operator=(const MembershipClient&) = delete;
+
+  /// Begins the first connection.
   void start() { connect(); }
-  // The log goes on at another address, under the same numbers.
+
+  /// The log goes on at another address, under the same sequence numbers. The old connection is left at once:
+  /// the old address reports nothing more but may stay open for a while, and look healthy. No effect if the
+  /// address is the one in use.
   void move(const std::string& address);
 
  private:
-  class Connection;
   net::Loop& loop_;
   net::BufferPool& pool_;
   core::Counters& counters_;
   std::string address_;
-  EventSequence log_;
-  Told told_;
-  std::size_t max_event_;
-  std::shared_ptr<Connection> connection_;
-  net::Loop::TimerId timer_{};
+  EventSequence sequence_;
+  OnUpdate on_update_;
+  std::size_t max_event_bytes_;
   Timeouts timeouts_;
   Backoff backoff_;
-  StalenessTimeout patience_;
+  StalenessTimeout staleness_;
+  std::shared_ptr<WatchConnection> connection_;
+  net::Loop::TimerId reconnect_timer_;
+
+  bool is_current(const WatchConnection& connection) const override;
+  std::uint64_t last_sequence() const override { return sequence_.last(); }
+  bool on_line(const std::string& line) override;
+  void on_silence_expired(const WatchConnection& connection) override;
+  void on_line_expired(const WatchConnection& connection) override;
+  void on_ended(const WatchConnection& connection) override;
 
   void connect();
-  void again();
+  void reconnect_later();
 };
 
 }  // namespace pathstack::feed
--- /dev/null
+++ b/src/feed/timeouts.h
@@ -0,0 +1,21 @@
+// The timeouts of the membership client.
+#pragma once
+
+#include "core/types.h"
+
+namespace pathstack::feed {
+
+/// The defaults are those of the program.
+struct Timeouts {
+  /// For a connection to be made.
+  core::Millis connect{500};
+  /// The ceiling of the pause between connections: the first one, and the bound of its growth.
+  core::Millis backoff_first{50}, backoff_most{500};
+  /// For any byte on a connection. The log writes a line every second; its updates count as received 4 s
+  /// after it has stopped.
+  core::Millis silence_first{1600}, silence_most{3000};
+  /// For a complete line. A log under load may take long over a complete list, which is one line.
+  core::Millis line_first{1600}, line_most{60000};
+};
+
+}  // namespace pathstack::feed
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -324,14 +324,14 @@
   StandInLog log(loop, pool);
   log.breaks_off = false;
   std::size_t events = 0;
-  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
-                              [&](const core::MemberList&) { ++events; });
+  feed::MembershipClient client(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                                [&](const core::MemberList&) { ++events; });
   FailingCalls calls;
   const net::ScopedSystemCalls scope(calls);
   calls.socket_errors = {ENFILE};
   calls.connect_errors = {EADDRNOTAVAIL, ENETUNREACH};
   const Millis began = loop.now();
-  feed.start();
+  client.start();
   for (int i = 0; i < kMaxTurns && events < log.events; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(events == log.events);
   CHECK(calls.connects >= 3);
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -1,4 +1,4 @@
-// The change log over connections that break.
+// The membership client over connections that break.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <memory>
@@ -11,20 +11,20 @@
 namespace pathstack::test {
 namespace {
 
-TEST_CASE("a change log that breaks off anywhere is taken up again; each event is told once, in order") {
+TEST_CASE("a change log that breaks off anywhere is resumed; each event is reported once, in order") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog log(loop, pool);
-  std::vector<std::string> told, all;
+  std::vector<std::string> updates, all;
   for (int i = 4; i <= 20; ++i) all.push_back("s" + std::to_string(i));
-  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(3),
-                              [&](const core::MemberList& list) {
-                                for (const auto& m : list.members) told.push_back(m.entry.worker);
-                              });
-  feed.start();
-  for (int i = 0; i < 5000 && told.size() < all.size(); ++i) loop.turn(loop.now() + Millis(20), [] {});
-  CHECK(told == all);
+  feed::MembershipClient client(loop, pool, counters, log.server.address(), feed::EventSequence(3),
+                                [&](const core::MemberList& list) {
+                                  for (const auto& m : list.members) updates.push_back(m.entry.worker);
+                                });
+  client.start();
+  for (int i = 0; i < 5000 && updates.size() < all.size(); ++i) loop.turn(loop.now() + Millis(20), [] {});
+  CHECK(updates == all);
   CHECK(log.asked.size() > 1);
   CHECK(log.asked.front() == 3);
   CHECK(std::is_sorted(log.asked.begin(), log.asked.end()));
@@ -37,19 +37,19 @@
   StandInLog old(loop, pool), next(loop, pool);
   old.events = 3;
   old.stays_open = true;
-  std::vector<std::string> told;
-  feed::MembershipClient feed(
+  std::vector<std::string> updates;
+  feed::MembershipClient client(
       loop, pool, counters, old.server.address(), feed::EventSequence(3),
-      [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
+      [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
     return until();
   };
-  feed.start();
+  client.start();
   REQUIRE(turn_until([&] { return old.asked.size() == 1; }));
-  feed.move(next.server.address());
-  REQUIRE(turn_until([&] { return told.size() == 17; }));
-  CHECK(told.front() == "s4");
+  client.move(next.server.address());
+  REQUIRE(turn_until([&] { return updates.size() == 17; }));
+  CHECK(updates.front() == "s4");
   CHECK(next.asked.front() == 3);
   CHECK(turn_until([&] { return old.server.peers.empty(); }));
   CHECK(old.asked.size() == 1);
@@ -63,10 +63,10 @@
   StandInLog log(loop, pool);
   log.events = 1;
   log.stays_open = true;
-  std::size_t told = 0;
-  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
-                              [&](const core::MemberList&) { ++told; });
-  feed.start();
+  std::size_t updates = 0;
+  feed::MembershipClient client(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                                [&](const core::MemberList&) { ++updates; });
+  client.start();
   Millis next = loop.now();
   for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
     loop.turn(loop.now() + Millis(20), [] {});
@@ -75,12 +75,12 @@
     for (const auto& peer : log.server.peers) peer->write("x");  // it trickles on, but no line ends
   }
   CHECK(log.asked.size() == 2);
-  CHECK(log.asked.back() == told);
+  CHECK(log.asked.back() == updates);
 }
 
 // Failure found in review: an event with a row that cannot be read was passed over, and its host lost for
 // good.
-TEST_CASE("an event with a host that cannot be read is asked for again, and told once it can be") {
+TEST_CASE("an event with a host that cannot be read is asked for again, and reported once it can be") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -89,13 +89,13 @@
   log.spoilt_once = 3;
   log.breaks_off = false;
   log.stays_open = true;
-  std::vector<std::string> told;
-  feed::MembershipClient feed(
+  std::vector<std::string> updates;
+  feed::MembershipClient client(
       loop, pool, counters, log.server.address(), feed::EventSequence(0),
-      [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
-  feed.start();
-  for (int i = 0; i < 5000 && told.size() < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
-  CHECK(told == std::vector<std::string>{"s1", "s2", "s3", "s4"});
+      [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
+  client.start();
+  for (int i = 0; i < 5000 && updates.size() < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
+  CHECK(updates == std::vector<std::string>{"s1", "s2", "s3", "s4"});
   CHECK(log.asked == std::vector<std::uint64_t>{0, 2});
   CHECK(counters.value(core::Counter::feed_malformed_or_gap) == 1);
 }
@@ -123,17 +123,17 @@
   const std::string text = whole_list(kHosts);
   REQUIRE(text.size() > feed::kDefaultMaxEventBytes);
   log.replies = {text.substr(0, text.size() / 2), text};
-  std::vector<core::MemberList> told;
-  feed::MembershipClient feed(
+  std::vector<core::MemberList> updates;
+  feed::MembershipClient client(
       loop, pool, counters, log.server.address(), feed::EventSequence(0),
-      [&](const core::MemberList& list) { told.push_back(list); }, 16U << 20);
-  feed.start();
-  for (int i = 0; i < 5000 && told.empty(); ++i) loop.turn(loop.now() + Millis(20), [] {});
-  REQUIRE(told.size() == 1);
+      [&](const core::MemberList& list) { updates.push_back(list); }, 16U << 20);
+  client.start();
+  for (int i = 0; i < 5000 && updates.empty(); ++i) loop.turn(loop.now() + Millis(20), [] {});
+  REQUIRE(updates.size() == 1);
   CHECK(log.asked == std::vector<std::uint64_t>{0, 0});
-  CHECK(told[0].complete);
-  REQUIRE(told[0].members.size() == kHosts);
-  CHECK(told[0].members.back().entry.worker == "s-" + std::to_string(kHosts - 1));
+  CHECK(updates[0].complete);
+  REQUIRE(updates[0].members.size() == kHosts);
+  CHECK(updates[0].members.back().entry.worker == "s-" + std::to_string(kHosts - 1));
 }
 
 TEST_CASE("a row of a list over 64 KiB makes its event malformed, and no other") {
@@ -193,11 +193,11 @@
   feed::Timeouts timeouts;
   timeouts.line_first = Millis(200);
   std::vector<core::MemberList> updates;
-  feed::MembershipClient feed(
+  feed::MembershipClient client(
       loop, pool, counters, log.server.address(), feed::EventSequence(0),
       [&](const core::MemberList& list) { updates.push_back(list); }, feed::kDefaultMaxEventBytes, 7,
       timeouts);
-  feed.start();
+  client.start();
   const Millis end = loop.now() + Millis(20000);
   while (updates.empty() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
   REQUIRE(updates.size() == 1);
@@ -207,22 +207,22 @@
 }
 
 TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
-  feed::StalenessTimeout patience{feed::Timeouts()};
-  CHECK(patience.silence() == Millis(1600));
-  patience.silence_expired();
-  CHECK(patience.line() == Millis(1600));
-  for (int i = 0; i < 20; ++i) patience.silence_expired();
-  // What a log that stopped would have told counts as received 4 s later.
-  CHECK(patience.silence() == Millis(3000));
-  patience.line_expired();
-  CHECK(patience.line() == Millis(3200));
-  for (int i = 0; i < 20; ++i) patience.line_expired();
-  CHECK(patience.line() == Millis(60000));
-  patience.line_received();
-  CHECK(patience.silence() == Millis(1600));
-  CHECK(patience.line() == Millis(60000));
-  patience.update_received();
-  CHECK(patience.line() == Millis(1600));
+  feed::StalenessTimeout staleness{feed::Timeouts()};
+  CHECK(staleness.silence() == Millis(1600));
+  staleness.silence_expired();
+  CHECK(staleness.line() == Millis(1600));
+  for (int i = 0; i < 20; ++i) staleness.silence_expired();
+  // The updates of a log that stopped count as received 4 s later.
+  CHECK(staleness.silence() == Millis(3000));
+  staleness.line_expired();
+  CHECK(staleness.line() == Millis(3200));
+  for (int i = 0; i < 20; ++i) staleness.line_expired();
+  CHECK(staleness.line() == Millis(60000));
+  staleness.line_received();
+  CHECK(staleness.silence() == Millis(1600));
+  CHECK(staleness.line() == Millis(60000));
+  staleness.update_received();
+  CHECK(staleness.line() == Millis(1600));
 }
 
 std::vector<double> pauses(feed::Backoff& backoff, int count) {
@@ -271,10 +271,10 @@
   UnreachableAtFirst calls;
   const net::ScopedSystemCalls scope(calls);
   std::size_t updates = 0;
-  feed::MembershipClient feed(loop, pool, counters, log.server.address(), feed::EventSequence(0),
-                              [&](const core::MemberList&) { ++updates; });
+  feed::MembershipClient client(loop, pool, counters, log.server.address(), feed::EventSequence(0),
+                                [&](const core::MemberList&) { ++updates; });
   const Millis began = loop.now();
-  feed.start();
+  client.start();
   CHECK(calls.connects == 1);
   for (int i = 0; i < 5000 && updates < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(updates == 20);
@@ -282,7 +282,7 @@
   CHECK(loop.now() - began >= Millis(25 + 50 + 100));  // the least pauses: none is left out
 }
 
-TEST_CASE("a change log that moves to and fro, also to where nobody listens, tells each event once") {
+TEST_CASE("a change log that moves to and fro, also to where nobody listens, reports each event once") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -297,25 +297,25 @@
   }
   std::vector<std::string> updates, all;
   for (int i = 1; i <= 20; ++i) all.push_back("s" + std::to_string(i));
-  feed::MembershipClient feed(
+  feed::MembershipClient client(
       loop, pool, counters, first.server.address(), feed::EventSequence(0),
       [&](const core::MemberList& list) { updates.push_back(list.members.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
     return until();
   };
-  feed.start();
+  client.start();
   REQUIRE(turn_until([&] { return updates.size() == 3; }));
-  feed.move(second.server.address());  // several within a turn: the last one counts
-  feed.move(first.server.address());
-  feed.move(dead);
-  feed.move(second.server.address());
+  client.move(second.server.address());  // several within a turn: the last one counts
+  client.move(first.server.address());
+  client.move(dead);
+  client.move(second.server.address());
   second.events = 5;
   REQUIRE(turn_until([&] { return updates.size() == 5; }));
-  feed.move(dead);
+  client.move(dead);
   for (int i = 0; i < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
   first.events = 20;
-  feed.move(first.server.address());
+  client.move(first.server.address());
   REQUIRE(turn_until([&] { return updates.size() == 20; }));
   CHECK(updates == all);
   CHECK(first.asked == std::vector<std::uint64_t>{0, 5});
--- a/tests/invoker/support/stand_in_log.h
+++ b/tests/invoker/support/stand_in_log.h
@@ -1,4 +1,4 @@
-// A stand-in for the change log.
+// A stand-in for the membership log.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "feed/membership_client.h"
+#include "feed/line_splitter.h"
 #include "support/random.h"
 #include "support/server.h"
 
@@ -23,10 +23,10 @@
 
    private:
     StandInLog& log_;
-    feed::LineSplitter cutter_;
+    feed::LineSplitter splitter_;
     void received(std::string_view bytes) override {
       std::vector<std::string> lines;
-      REQUIRE(cutter_.take(bytes, lines));
+      REQUIRE(splitter_.take(bytes, lines));
       for (const auto& line : lines) {
         REQUIRE(line.compare(0, 6, "since ") == 0);
         log_.asked.push_back(std::stoull(line.substr(6)));
