--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -135,13 +135,13 @@
     feed_->start();
     return;
   }
-  const auto on_rejected = [this](const std::string& fault) {
-    errors_.write_line("pathstack-invoker: xds.file: " + fault);
+  const auto on_rejected = [this](const xds::ReadError& error) {
+    errors_.write_line("pathstack-invoker: xds.file: " + error.reason);
   };
   host_file_.emplace(loop_, counters_, config_.xds->file, config_.xds->cluster, config_.xds->reread,
                      on_update, on_rejected);
-  std::string fault;
-  if (!host_file_->start(fault)) throw config::ConfigError("configuration: xds.file: " + fault);
+  const xds::HostFile::Status started = host_file_->start();
+  if (!started) throw config::ConfigError("configuration: xds.file: " + started.error().reason);
 }
 
 void Invoker::start_listening() {
@@ -190,9 +190,9 @@
   if (next.xds.has_value() != config_.xds.has_value()) {
     throw config::ConfigError("configuration: xds: can be added or removed at a start only");
   }
-  std::string fault;
-  if (host_file_ && !host_file_->move(next.xds->file, next.xds->cluster, fault)) {
-    throw config::ConfigError("configuration: xds.file: " + fault);
+  if (host_file_) {
+    const xds::HostFile::Status moved = host_file_->move(next.xds->file, next.xds->cluster);
+    if (!moved) throw config::ConfigError("configuration: xds.file: " + moved.error().reason);
   }
   if (feed_) feed_->move(next.changelog);
   counters_.add(core::Counter::config_reread);
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -17,7 +17,7 @@
 #include "hosts/fleet.h"
 #include "net/loop.h"
 #include "resp/front.h"
-#include "xds/hosts.h"
+#include "xds/host_file.h"
 
 namespace pathstack::app {
 
--- /dev/null
+++ b/src/xds/assignment.cpp
@@ -0,0 +1,162 @@
+#include "xds/assignment.h"
+
+#include <optional>
+#include <set>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "config/json_read.h"
+#include "net/socket.h"
+
+namespace pathstack::xds {
+namespace {
+
+using config::key;
+using config::text;
+using core::WorkerState;
+using nlohmann::json;
+
+constexpr std::size_t kMaxQuotedBytes = 200;
+constexpr std::string_view kAssignmentType = "ClusterLoadAssignment";
+
+// The name under which the metadata of an endpoint hold what is meant for this program. The files of
+// operators have it, so it stays as it is, whatever the program is called.
+constexpr const char* kMetadataName = "lotusyard";
+
+// envoy.config.core.v3.HealthStatus; those of its values under which a host takes calls.
+enum class HealthStatus { unknown = 0, healthy = 1, degraded = 5 };
+
+// The JSON form of a protobuf message may name its fields in either way.
+const json& either(const json& object, const char* snake_case, const char* camel_case) {
+  const json& found = key(object, snake_case);
+  return found.is_null() ? key(object, camel_case) : found;
+}
+
+// Something else in place of a list would read as an empty one, and all hosts would be gone.
+bool is_list(const json& value) { return value.is_null() || value.is_array(); }
+
+std::string quote(const json& value) { return value.dump().substr(0, kMaxQuotedBytes); }
+
+bool ends_with(std::string_view whole, std::string_view end) {
+  return whole.size() >= end.size() && whole.substr(whole.size() - end.size()) == end;
+}
+
+bool is_assignment(const json& resource) {
+  const std::string type = text(key(resource, "@type"));
+  if (!type.empty()) return ends_with(type, kAssignmentType);
+  return !either(resource, "cluster_name", "clusterName").is_null();
+}
+
+// Nothing new goes to what the list does not call healthy, so UNHEALTHY and TIMEOUT count as DRAINING.
+WorkerState state_of(const json& endpoint) {
+  const json& health = either(endpoint, "health_status", "healthStatus");
+  bool takes_calls = false;
+  if (health.is_number()) {
+    const auto status = static_cast<HealthStatus>(config::whole(health));
+    takes_calls = status == HealthStatus::unknown || status == HealthStatus::healthy ||
+                  status == HealthStatus::degraded;
+  } else {
+    const std::string status = text(health);
+    takes_calls = status.empty() || status == "UNKNOWN" || status == "HEALTHY" || status == "DEGRADED";
+  }
+  return takes_calls ? WorkerState::ready : WorkerState::draining;
+}
+
+// Empty if there is no numeric address with a port.
+std::string address_of(const json& endpoint) {
+  const json& socket = either(key(key(endpoint, "endpoint"), "address"), "socket_address", "socketAddress");
+  const std::string host = text(key(socket, "address"));
+  const int port = config::whole(either(socket, "port_value", "portValue"));
+  const bool is_ipv6 = host.find(':') != std::string::npos;
+  std::string address = (is_ipv6 ? '[' + host + ']' : host) + ':' + std::to_string(port);
+  if (port <= 0 || !net::valid_address(address)) return {};
+  return address;
+}
+
+// A file holds one resource, an array of them, or an object with such an array.
+std::vector<const json*> resources_of(const json& file) {
+  const json& listed = key(file, "resources");
+  const json& resources = listed.is_array() ? listed : file;
+  if (!resources.is_array()) return {&resources};
+  std::vector<const json*> out;
+  for (const auto& resource : resources) out.push_back(&resource);
+  return out;
+}
+
+const json* find_assignment(const json& file, const std::string& cluster) {
+  const auto resources = resources_of(file);
+  const json* inlined = nullptr;
+  std::string service = cluster;
+  for (const json* resource : resources) {
+    if (is_assignment(*resource) || text(key(*resource, "name")) != cluster) continue;
+    const json& own = either(*resource, "load_assignment", "loadAssignment");
+    if (own.is_object()) inlined = &own;
+    const json& eds = either(*resource, "eds_cluster_config", "edsClusterConfig");
+    const std::string named = text(either(eds, "service_name", "serviceName"));
+    if (!named.empty()) service = named;
+  }
+  if (inlined != nullptr) return inlined;
+  const json* found = nullptr;
+  for (const json* resource : resources) {
+    if (!is_assignment(*resource)) continue;
+    if (text(either(*resource, "cluster_name", "clusterName")) == service) found = resource;
+  }
+  return found;
+}
+
+// Collects the hosts of one assignment.
+class AssignmentReader {
+ public:
+  AssignmentReader() { list_.complete = true; }
+
+  std::optional<ReadError> read_group(const json& group) {
+    const json& endpoints = either(group, "lb_endpoints", "lbEndpoints");
+    if (!group.is_object() || !is_list(endpoints)) {
+      return ReadError{"a group of endpoints is not an object with a list: " + quote(group)};
+    }
+    const std::string zone = text(key(key(group, "locality"), "zone"));
+    for (const auto& endpoint : endpoints) {
+      if (auto error = read_endpoint(endpoint, zone)) return error;
+    }
+    return std::nullopt;
+  }
+
+  core::MemberList take() { return std::move(list_); }
+
+ private:
+  core::MemberList list_;
+  std::set<std::string> addresses_;
+
+  std::optional<ReadError> read_endpoint(const json& endpoint, const std::string& zone) {
+    core::Member member;
+    member.address = member.entry.worker = address_of(endpoint);
+    if (member.address.empty() || !addresses_.insert(member.address).second) {
+      return ReadError{"an endpoint without a numeric address and port of its own: " + quote(endpoint)};
+    }
+    const json& weight = either(endpoint, "load_balancing_weight", "loadBalancingWeight");
+    const json& metadata = either(key(endpoint, "metadata"), "filter_metadata", "filterMetadata");
+    member.entry.state = state_of(endpoint);
+    member.entry.zone = zone;
+    member.entry.weight = config::number(weight, 1);
+    member.entry.kind = text(key(key(metadata, kMetadataName), "kind"));
+    list_.members.push_back(std::move(member));
+    return std::nullopt;
+  }
+};
+
+}  // namespace
+
+Result<core::MemberList, ReadError> read_assignment(const json& file, const std::string& cluster) {
+  const json* assignment = find_assignment(file, cluster);
+  if (assignment == nullptr) return ReadError{"no endpoints of cluster '" + cluster + "'"};
+  const json& groups = key(*assignment, "endpoints");
+  if (!is_list(groups)) return ReadError{"endpoints is not a list"};
+  AssignmentReader reader;
+  for (const auto& group : groups) {
+    if (auto error = reader.read_group(group)) return *error;
+  }
+  return reader.take();
+}
+
+}  // namespace pathstack::xds
--- a/tests/invoker/clock_test.cpp
+++ b/tests/invoker/clock_test.cpp
@@ -12,7 +12,7 @@
 #include "support/settings.h"
 #include "support/temporary_path.h"
 #include "xds/file_watch.h"
-#include "xds/hosts.h"
+#include "xds/host_file.h"
 
 namespace pathstack::test {
 namespace {
@@ -46,8 +46,7 @@
     std::vector<core::MemberList> updates;
     xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
                        [&](const core::MemberList& list) { updates.push_back(list); });
-    std::string fault;
-    REQUIRE(file.start(fault));
+    REQUIRE(file.start());
     path.write(list_of(2));
     set_times(path.file(), first.st_mtim, offset_s);
     for (int i = 0; i < 200 && updates.size() < 2; ++i) loop.turn(loop.now() + Millis(20), [] {});
@@ -106,9 +105,8 @@
   xds::HostFile file(
       loop, counters, path.file(), "bins", Millis(5),
       [&](const core::MemberList& list) { updates.push_back(list); },
-      [&](const std::string& fault) { faults.push_back(fault); });
-  std::string fault;
-  REQUIRE(file.start(fault));
+      [&](const xds::ReadError& error) { faults.push_back(error.reason); });
+  REQUIRE(file.start());
   const auto turn_until = [&](const auto& until) {
     for (int i = 0; i < 2000 && !until(); ++i) loop.turn(loop.now() + Millis(5), [] {});
     return until();
@@ -116,10 +114,10 @@
   path.make_unreadable();
   REQUIRE(turn_until([&] { return !faults.empty(); }));
   CHECK(faults[0] == "cannot be read");
-  CHECK_FALSE(file.move(path.file(), "bins", fault));
+  CHECK_FALSE(file.move(path.file(), "bins"));
   CHECK(updates.size() == 1);
   path.remove();
-  CHECK_FALSE(file.move(path.file(), "bins", fault));
+  CHECK_FALSE(file.move(path.file(), "bins"));
   path.write(list_of(2));
   REQUIRE(turn_until([&] { return updates.size() == 2; }));
   CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
@@ -133,17 +131,17 @@
   std::vector<core::MemberList> updates;
   xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
                      [&](const core::MemberList& list) { updates.push_back(list); });
-  std::string fault;
-  REQUIRE(file.start(fault));
+  REQUIRE(file.start());
   const std::string next = list_of(2);
   for (std::size_t bytes = 0; bytes < next.size(); ++bytes) {
     path.write(next.substr(0, bytes));
-    CHECK_FALSE(file.move(path.file(), "bins", fault));
-    CHECK_FALSE(fault.empty());
+    const auto moved = file.move(path.file(), "bins");
+    REQUIRE_FALSE(moved);
+    CHECK_FALSE(moved.error().reason.empty());
   }
   CHECK(updates.size() == 1);
   path.write(next);
-  CHECK(file.move(path.file(), "bins", fault));
+  CHECK(file.move(path.file(), "bins"));
   CHECK(updates.size() == 2);
 }
 
--- a/tests/invoker/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -17,7 +17,8 @@
 #include "net/socket.h"
 #include "support/settings.h"
 #include "support/temporary_path.h"
-#include "xds/hosts.h"
+#include "xds/assignment.h"
+#include "xds/host_file.h"
 
 namespace pathstack::test {
 namespace {
@@ -140,11 +141,10 @@
 
 TEST_CASE(
     "xDS endpoints are hosts: DRAINING drains, the unhealthy get nothing new, half a file changes nothing") {
-  std::string fault;
-  const auto list = xds::read_hosts(
+  const auto list = xds::read_assignment(
       assignment(json::array({endpoint(1, "HEALTHY"), endpoint(2, "DRAINING"), endpoint(3, "UNHEALTHY"),
                               endpoint(4, json()), endpoint(5, 3)})),
-      "bins", fault);
+      "bins");
   REQUIRE(list);
   std::string states;
   for (const auto& m : list->members) states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
@@ -157,30 +157,29 @@
                         {"edsClusterConfig", {{"serviceName", "bins"}}}};
   const json both = {
       {"resources", json::array({cluster, assignment(json::array({endpoint(1, "HEALTHY")}))})}};
-  CHECK(xds::read_hosts(both, "bins-by-eds", fault)->members.size() == 1);
-  CHECK_FALSE(xds::read_hosts(both, "other", fault));
-  CHECK_FALSE(xds::read_hosts(assignment(json::array({endpoint(1, "HEALTHY"), endpoint(0, "HEALTHY")})),
-                              "bins", fault));
-  CHECK_FALSE(xds::read_hosts(assignment(json::array({endpoint(1, "HEALTHY"), endpoint(1, "HEALTHY")})),
-                              "bins", fault));
+  CHECK(xds::read_assignment(both, "bins-by-eds")->members.size() == 1);
+  CHECK_FALSE(xds::read_assignment(both, "other"));
+  CHECK_FALSE(xds::read_assignment(assignment(json::array({endpoint(1, "HEALTHY"), endpoint(0, "HEALTHY")})),
+                                   "bins"));
+  CHECK_FALSE(xds::read_assignment(assignment(json::array({endpoint(1, "HEALTHY"), endpoint(1, "HEALTHY")})),
+                                   "bins"));
 }
 
 // Failure found in review: something else in place of a list read as an empty one, and all hosts were gone.
 TEST_CASE("an xDS file with something else in place of a list of endpoints is rejected") {
-  std::string fault;
   json whole = assignment(json::array({endpoint(1, "HEALTHY")}));
   json wrong = whole;
   wrong["endpoints"] = "none";
-  CHECK_FALSE(xds::read_hosts(wrong, "bins", fault));
+  CHECK_FALSE(xds::read_assignment(wrong, "bins"));
   wrong["endpoints"] = json::array({"none"});
-  CHECK_FALSE(xds::read_hosts(wrong, "bins", fault));
+  CHECK_FALSE(xds::read_assignment(wrong, "bins"));
   wrong = whole;
   wrong["endpoints"][0]["lb_endpoints"] = 7;
-  CHECK_FALSE(xds::read_hosts(wrong, "bins", fault));
+  CHECK_FALSE(xds::read_assignment(wrong, "bins"));
   wrong = whole;
   wrong["endpoints"] = json::array();
-  REQUIRE(xds::read_hosts(wrong, "bins", fault));
-  CHECK(xds::read_hosts(wrong, "bins", fault)->members.empty());
+  REQUIRE(xds::read_assignment(wrong, "bins"));
+  CHECK(xds::read_assignment(wrong, "bins")->members.empty());
 }
 
 // Failure found in review: a file written in place twice within a tick of the file system's clock kept its
@@ -197,13 +196,12 @@
   REQUIRE(ready.size() == moved.size());
   write(ready);
   REQUIRE(stat(path, &first) == 0);
-  std::vector<core::MemberList> told;
+  std::vector<core::MemberList> updates;
   std::vector<std::string> faults;
   xds::HostFile file(
-      loop, counters, path, "bins", Millis(5), [&](const auto& list) { told.push_back(list); },
-      [&](const std::string& why) { faults.push_back(why); });
-  std::string fault;
-  REQUIRE(file.start(fault));
+      loop, counters, path, "bins", Millis(5), [&](const auto& list) { updates.push_back(list); },
+      [&](const xds::ReadError& error) { faults.push_back(error.reason); });
+  REQUIRE(file.start());
   write(moved);
   const timespec times[] = {first.st_atim, first.st_mtim};
   REQUIRE(utimensat(AT_FDCWD, path, times, 0) == 0);
@@ -211,16 +209,16 @@
     for (int i = 0; i < 200 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
     return until();
   };
-  REQUIRE(turn_until([&] { return told.size() == 2; }));
-  CHECK(told[1].members.at(0).address == "127.0.0.1:2");
+  REQUIRE(turn_until([&] { return updates.size() == 2; }));
+  CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
   write(ready.substr(0, ready.size() / 2));
   REQUIRE(turn_until([&] { return !faults.empty(); }));
   for (int i = 0; i < 5; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(counters.value(core::Counter::xds_rejected) == 1);
   CHECK(faults.size() == 1);
-  CHECK(told.size() == 2);
+  CHECK(updates.size() == 2);
   write(ready);
-  CHECK(turn_until([&] { return told.size() == 3; }));
+  CHECK(turn_until([&] { return updates.size() == 3; }));
   std::remove(path);
 }
 
@@ -234,12 +232,11 @@
     std::ofstream(next) << text;
     REQUIRE(std::rename(next.c_str(), path) == 0);
   };
-  std::vector<core::MemberList> told;
+  std::vector<core::MemberList> updates;
   write(assignment(json::array({endpoint(1, "HEALTHY")})).dump());
   xds::HostFile file(loop, counters, path, "bins", Millis(10),
-                     [&](const auto& list) { told.push_back(list); });
-  std::string fault;
-  REQUIRE(file.start(fault));
+                     [&](const auto& list) { updates.push_back(list); });
+  REQUIRE(file.start());
   const auto wait_for = [&](core::Counter counter, std::uint64_t value) {
     for (int i = 0; i < 2000 && counters.value(counter) < value; ++i)
       loop.turn(loop.now() + Millis(20), [] {});
@@ -247,12 +244,12 @@
   };
   write(assignment(json::array({endpoint(1, "DRAINING"), endpoint(2, "HEALTHY")})).dump());
   REQUIRE(wait_for(core::Counter::xds_lists, 2));
-  CHECK(told[1].members[0].entry.state == core::WorkerState::draining);
-  CHECK(told[1].members[0].entry.started == Millis(0));
-  CHECK(told[1].members[1].entry.started > Millis(0));
+  CHECK(updates[1].members[0].entry.state == core::WorkerState::draining);
+  CHECK(updates[1].members[0].entry.started == Millis(0));
+  CHECK(updates[1].members[1].entry.started > Millis(0));
   write("{\"half\": ");
   REQUIRE(wait_for(core::Counter::xds_rejected, 1));
-  CHECK(told.size() == 2);
+  CHECK(updates.size() == 2);
   std::remove(path);
 }
 
