--- a/src/config/config.h
+++ b/src/config/config.h
@@ -4,60 +4,67 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "base/time.h"
+#include "config/config_error.h"
 #include "config/membership_events.h"
 #include "pathstack/policy.h"
 
 namespace pathstack::config {
 
-// Its message names the faulty key.
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-// AMQP triggers, off unless the file has a part `amqp`.
+/// AMQP triggers, off unless the file has a part `amqp`.
 struct AmqpConfig {
-  std::string broker, user = "guest", password = "guest", vhost = "/";
+  std::string broker;  // a numeric address with a port
+  std::string user = "guest", password = "guest", vhost = "/";
   std::vector<std::string> queues;
-  std::uint16_t prefetch = 32, heartbeat_s = 10;
-  std::size_t body_kb = 16, open_calls = 256, remembered = 10000, remembered_mb = 16;
+  std::uint16_t prefetch = 32;     // messages in flight
+  std::uint16_t heartbeat_s = 10;  // seconds; 0: none
+  std::size_t body_kb = 16;        // KiB, of one message
+  std::size_t open_calls = 256;
+  std::size_t remembered = 10000;  // answers kept for repeated messages
+  std::size_t remembered_mb = 16;  // MiB, of these answers
 };
 
-// Envoy's list of hosts, in place of the change log.
+/// Envoy's list of hosts, in place of the membership log.
 struct XdsConfig {
   std::string file, cluster;
-  pathstack::policy::Millis reread{500};
+  Millis reread{500};  // between looks at the file
 };
 
+/// All that an invoker is configured with.
 struct Config {
-  std::string name, listen, changelog;  // listen: empty where only triggers bring calls
+  std::string name;
+  std::string listen;     // empty where only triggers bring calls
+  std::string changelog;  // the address of the membership log; empty with an xDS file
   std::optional<AmqpConfig> amqp;
   std::optional<XdsConfig> xds;
-  std::uint64_t seed = 0;
-  std::size_t memory_mb = 192, sockets = 1024;
-  std::uint64_t known_seq = 0;
+  std::uint64_t seed = 0;       // of the decision module and of jitter
+  std::size_t memory_mb = 192;  // MiB, the memory limit of the process
+  std::size_t sockets = 1024;   // the limit on its descriptors
+  std::uint64_t known_seq = 0;  // the last event of the membership log that `known_events` make up for
   std::vector<MembershipEvent> known_events;
   pathstack::policy::Settings settings;
-  pathstack::policy::Millis connection_idle{15000};
-  std::size_t attempts_a_link = 32;
+  Millis connection_idle{15000};     // after which an unused connection to a host is closed
+  std::size_t attempts_a_link = 32;  // in flight on one connection to a host
   std::vector<std::string> report_fields;
 };
 
 /// A configuration file as it was parsed. The events of `known` stand apart, as a fleet's list of hosts is
 /// many times as large in a document.
 struct ConfigFile {
-  ConfigFile(nlohmann::json document_, std::vector<MembershipEvent> known_events_ = {})
-      : document(std::move(document_)), known_events(std::move(known_events_)) {}
+  ConfigFile(nlohmann::json parsed, std::vector<MembershipEvent> events = {})
+      : document(std::move(parsed)), known_events(std::move(events)) {}
   nlohmann::json document;
   std::vector<MembershipEvent> known_events;
 };
 
-/// `listen` and `name` come from the environment where the file has none. Throws ConfigError.
+/// `listen` and `name` come from the environment where the file has none. Throws ConfigError for the first
+/// fault found.
 Config read_config(ConfigFile config_file, const std::string& name, const std::string& listen);
+
 /// Memory: that of the hosts that the file names, and of one row of them. Throws ConfigError.
 ConfigFile read_config_file(const std::string& path);
 
--- a/src/config/membership_events.cpp
+++ b/src/config/membership_events.cpp
@@ -12,6 +12,7 @@
 using ParseEvent = nlohmann::json::parse_event_t;
 
 constexpr std::size_t kMaxRowBytes = std::size_t{64} * 1024;
+constexpr std::size_t kValueBytes = 4;  // counted for a value apart from its text
 constexpr std::size_t kFleetDepth = 1, kMembersDepth = 2, kRowDepth = 3;  // below that of the event
 
 WorkerState state_of(const std::string& phase) {
@@ -20,9 +21,9 @@
   return WorkerState::draining;  // unknown: nothing new may go there
 }
 
-// Bytes of names and texts, and a few for each value.
+// The size of a row as a bound on the memory that it takes: bytes of names and texts, and a few for each
+// value.
 std::size_t bytes_of(const json& value) {
-  constexpr std::size_t kValueBytes = 4;
   if (value.is_string()) return kValueBytes + value.get_ref<const std::string&>().size();
   std::size_t sum = kValueBytes;
   if (value.is_array()) {
@@ -79,7 +80,7 @@
 
 void MembershipEventReader::take_row(const json& row) {
   auto member = read_member(row);
-  // An event passed over for one row would lose a host for good: all of it is asked for again.
+  // To skip one row would lose its host for good, so the whole event is malformed and is asked for again.
   const bool usable = !member.entry.worker.empty() && !text(key(row, "phase")).empty();
   if (!usable || bytes_of(row) > kMaxRowBytes) {
     current_.malformed = true;
--- a/src/config/membership_events.h
+++ b/src/config/membership_events.h
@@ -15,7 +15,7 @@
 /// One event as it was written; nothing is checked against the events before it.
 struct MembershipEvent {
   std::optional<std::uint64_t> seq;  // none: it has no number
-  bool has_members = false;          // false: a kind of event that is none of ours
+  bool has_members = false;          // false: another kind of event
   bool malformed = false;            // a part of it cannot be read
   core::MemberList list;
 };
@@ -52,6 +52,8 @@
   std::optional<std::uint64_t> number;
   std::optional<MembershipEvent> event;  // neither: the line cannot be read
 };
+
+/// Cost: linear in the line.
 MembershipLine read_membership_line(const std::string& line);
 
 }  // namespace pathstack::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 ReportField field(const json& value) {
-  static const std::map<std::string, ReportField> words = {
+  static const std::map<std::string, ReportField> kWords = {
       {"inflight", ReportField::inflight}, {"queue", ReportField::queue},
       {"util", ReportField::utilisation},  {"latency_ms", ReportField::latency_ms},
       {"qps", ReportField::rate},          {"eps", ReportField::errors},
       {"x0", ReportField::pinned},         {"x1", ReportField::loading}};
-  return word(text(value), words, ReportField::other);
+  return word(text(value), kWords, ReportField::other);
 }
 
 ClassSettings read_class(const json& row) {
