--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -7,6 +7,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "app/part_settings.h"
+
 namespace pathstack::app {
 namespace {
 
@@ -16,14 +18,15 @@
 constexpr Millis kShutdownInterval{20};  // of looks at whether the end has come
 constexpr Millis kListenRetryFor{5000};  // while the listener cannot be opened for a moment
 constexpr Millis kListenRetryPause{100};
-constexpr std::size_t kOwnDescriptors = 20;  // standard streams, the listener, the change log and the like
+constexpr const char* kProgram = "pathstack-invoker";
 
 std::string environment(const char* name) {
   const char* const value = std::getenv(name);
   return value == nullptr ? std::string() : value;
 }
 
-config::Config read_file(const std::string& path) {
+// Throws config::ConfigError.
+config::Config read_configuration(const std::string& path) {
   if (path.empty()) {
     throw config::ConfigError("configuration: BALANCER_CONFIG: not set, and no file was named");
   }
@@ -31,71 +34,28 @@
                              environment("BALANCER_LISTEN"));
 }
 
-// A third of the descriptors each for clients and for hosts; the last third for connections that have not
-// asked yet, less what the program itself holds and what connections that are being closed may hold.
-hosts::Limits host_limits(const config::Config& config) {
-  hosts::Limits limits;
-  limits.connect_timeout = config.settings.connect_timeout;
-  limits.idle = config.connection_idle;
-  limits.order_timeout = config.settings.order_timeout;
-  limits.probes = config.settings.probes;
-  limits.drain_grace = config.settings.drain_grace;
-  limits.attempts_a_link = config.attempts_a_link;
-  limits.links = config.sockets / 3;
-  limits.report_fields = config.report_fields;
-  return limits;
-}
-
-resp::Front::Limits front_limits(const config::Config& config, std::size_t body_bytes) {
-  resp::Front::Limits limits;
-  limits.clients = config.sockets / 3;
-  const std::size_t reserved = kOwnDescriptors + limits.closing;
-  limits.newcomers = std::max<std::size_t>(config.sockets / 3, reserved + kOwnDescriptors) - reserved;
-  limits.body_bytes = body_bytes;
-  return limits;
-}
-
-amqp::BrokerSettings broker_settings(const config::AmqpConfig& from) {
-  amqp::BrokerSettings broker;
-  broker.address = from.broker;
-  broker.user = from.user;
-  broker.password = from.password;
-  broker.vhost = from.vhost;
-  broker.queues = from.queues;
-  broker.prefetch = from.prefetch;
-  broker.heartbeat = std::chrono::seconds(from.heartbeat_s);
-  broker.max_body_bytes = from.body_kb << 10;
-  return broker;
-}
-
-Millis longest_deadline(const core::Settings& settings) {
-  Millis longest{0};
-  for (const auto& c : settings.classes) longest = std::max(longest, c.deadline);
-  return longest;
-}
-
 }  // namespace
 
-// The signals first: none may end the program while it starts.
+// The signals come first: none may end the program while it starts.
 Invoker::Invoker(std::string config_file)
     : config_file_(std::move(config_file)),
       signals_(loop_),
-      config_(read_file(config_file_)),
+      config_(read_configuration(config_file_)),
       log_(STDOUT_FILENO, counters_),
       errors_(STDERR_FILENO, counters_),
-      pool_(memory_quarter() / net::BufferPool::kBlockSize),
+      pool_(memory_quarter(config_) / net::BufferPool::kBlockSize),
       fleet_(loop_, pool_, counters_, host_limits(config_)),
       dispatcher_(
           config_.settings, [this] { return loop_.now(); }, fleet_, counters_),
       shutdown_(longest_deadline(config_.settings)),
-      front_(loop_, pool_, dispatcher_, counters_, front_limits(config_, memory_quarter())),
+      front_(loop_, pool_, dispatcher_, counters_, client_limits(config_)),
       reloader_(
           loop_, [this] { reload(); },
           [this](const std::string& fault, bool last) { on_reload_fault(fault, last); }) {
   fleet_.attach(dispatcher_);
   start_membership();
   start_listening();
-  if (ended_) return;
+  if (terminated_at_start_) return;
   start_triggers();
   next_status_ = loop_.now() + kStatusInterval;
 }
@@ -107,37 +67,37 @@
   dispatcher_.members(std::move(entries));
 }
 
-feed::EventSequence Invoker::take_known_events() {
-  feed::EventSequence log;
+feed::EventSequence Invoker::apply_known_events() {
+  using Result = feed::EventSequence::Result;
+  feed::EventSequence sequence;
   for (auto& event : std::exchange(config_.known_events, {})) {
     core::MemberList list;
-    const auto read = log.read_event(std::move(event), list);
-    if (read == feed::EventSequence::Result::update) {
-      update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
-    } else if (read != feed::EventSequence::Result::no_update) {
+    const Result result = sequence.read_event(std::move(event), list);
+    if (result == Result::gap || result == Result::malformed) {
       counters_.add(core::Counter::feed_known_unread);
-      errors_.write_line("pathstack-invoker: known: an event cannot be read; asking the change log from " +
-                         std::to_string(log.last()));
-      return log;  // the change log tells the rest again
+      report_error("known: an event cannot be read; asking the change log from " +
+                   std::to_string(sequence.last()));
+      return sequence;  // the change log sends the rest again
     }
+    if (result == Result::no_update) continue;
+    update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
   }
-  log.skip_to(config_.known_seq);
-  return log;
+  sequence.skip_to(config_.known_seq);
+  return sequence;
 }
 
 void Invoker::start_membership() {
-  const feed::EventSequence log = take_known_events();
+  const feed::EventSequence known = apply_known_events();
   const auto on_update = [this](const core::MemberList& list) {
     update_members(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
   if (!config_.xds) {
-    feed_.emplace(loop_, pool_, counters_, config_.changelog, log, on_update, memory_quarter(), config_.seed);
-    feed_->start();
+    membership_client_.emplace(loop_, pool_, counters_, config_.changelog, known, on_update,
+                               memory_quarter(config_), config_.seed);
+    membership_client_->start();
     return;
   }
-  const auto on_rejected = [this](const xds::ReadError& error) {
-    errors_.write_line("pathstack-invoker: xds.file: " + error.reason);
-  };
+  const auto on_rejected = [this](const xds::ReadError& error) { report_error("xds.file: " + error.reason); };
   host_file_.emplace(loop_, counters_, config_.xds->file, config_.xds->cluster, config_.xds->reread,
                      on_update, on_rejected);
   const xds::HostFile::Status started = host_file_->start();
@@ -154,13 +114,13 @@
     if (!net::is_transient_listen_error(error) || loop_.now() >= give_up) {
       throw config::ConfigError("configuration: listen: " + fault);
     }
-    if (!std::exchange(reported, true)) errors_.write_line("pathstack-invoker: " + fault + "; retrying");
+    if (!std::exchange(reported, true)) report_error(fault + "; retrying");
     if (!run_until(loop_.now() + kListenRetryPause)) {
-      ended_ = true;
+      terminated_at_start_ = true;
       return;
     }
   }
-  log_.write_line("pathstack-invoker " + config_.name + " listens on " + front_.address());
+  log_event("listens on " + front_.address());
 }
 
 // Serves the membership and the signals meanwhile. False, at once, if the program is to end.
@@ -176,17 +136,15 @@
 
 void Invoker::start_triggers() {
   if (!config_.amqp) return;
-  const amqp::Front::Limits limits{config_.amqp->open_calls, config_.amqp->remembered,
-                                   config_.amqp->remembered_mb << 20};
   triggers_.emplace(loop_, pool_, dispatcher_, counters_, config_.settings, broker_settings(*config_.amqp),
-                    limits);
+                    trigger_limits(*config_.amqp));
   triggers_->start();
-  log_.write_line("pathstack-invoker " + config_.name + " takes triggers from " + config_.amqp->broker);
+  log_event("takes triggers from " + config_.amqp->broker);
 }
 
 // The file is read whole and checked; only then is the list of hosts followed to where it says.
 void Invoker::reload() {
-  const auto next = read_file(config_file_);
+  const auto next = read_configuration(config_file_);
   if (next.xds.has_value() != config_.xds.has_value()) {
     throw config::ConfigError("configuration: xds: can be added or removed at a start only");
   }
@@ -194,14 +152,14 @@
     const xds::HostFile::Status moved = host_file_->move(next.xds->file, next.xds->cluster);
     if (!moved) throw config::ConfigError("configuration: xds.file: " + moved.error().reason);
   }
-  if (feed_) feed_->move(next.changelog);
+  if (membership_client_) membership_client_->move(next.changelog);
   counters_.add(core::Counter::config_reread);
 }
 
 // The old configuration goes on.
 void Invoker::on_reload_fault(const std::string& fault, bool last) {
   counters_.add(core::Counter::config_faulty);
-  errors_.write_line("pathstack-invoker: " + fault + (last ? "; not read again before the next SIGHUP" : ""));
+  report_error(last ? fault + "; not read again before the next SIGHUP" : fault);
 }
 
 // True if the program is to end.
@@ -213,7 +171,7 @@
 }
 
 void Invoker::run() {
-  if (ended_) return;
+  if (terminated_at_start_) return;
   while (true) {
     Millis due = std::min(dispatcher_.next_due(), next_status_);
     if (loop_.now() >= next_status_) log_status();
@@ -236,8 +194,7 @@
 
 void Invoker::begin_shutdown(Millis now) {
   shutdown_.begin(now);
-  log_.write_line("pathstack-invoker " + config_.name + " ends: " + std::to_string(dispatcher_.open()) +
-                  " calls open");
+  log_event("ends: " + std::to_string(dispatcher_.open()) + " calls open");
   front_.drain();
   if (triggers_) triggers_->drain();
 }
@@ -249,11 +206,12 @@
   const bool clients_served = front_.open_calls() == 0 && !front_.reading() && front_.written();
   const bool triggers_served = !triggers_ || triggers_->done();
   const bool all_served = clients_served && triggers_served;
-  return (listener_closed && all_served && !shutdown_.requests_come(now)) || shutdown_.over(now);
+  const bool nothing_comes = listener_closed && !shutdown_.requests_come(now);
+  return (nothing_comes && all_served) || shutdown_.over(now);
 }
 
 // The exit closes what is open by then. Unread input would turn that into a reset, which can overtake the
-// last answers.
+// last answers: so connections are closed in order, and the clients are given time to read and close theirs.
 void Invoker::close_clients() {
   front_.close_connections();
   const Millis until = shutdown_.linger_until(loop_.now());
@@ -268,6 +226,14 @@
   if (!line.empty()) log_.write_line(line);
 }
 
+void Invoker::report_error(const std::string& error) {
+  errors_.write_line(std::string(kProgram) + ": " + error);
+}
+
+void Invoker::log_event(const std::string& text) {
+  log_.write_line(std::string(kProgram) + ' ' + config_.name + ' ' + text);
+}
+
 void Invoker::log_counters() {
   for (const auto& line : counters_.lines()) log_.write_line(line);
 }
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -1,7 +1,6 @@
-// One invoker: its parts, its start, its loop and its end.
+// One invoker: its parts, start, loop and graceful shutdown.
 #pragma once
 
-#include <cstddef>
 #include <optional>
 #include <string>
 
@@ -24,8 +23,8 @@
 /// Owns the parts of one invoker and runs them on one thread.
 ///
 /// Clients' calls go from `front_` (RESP) or `triggers_` (AMQP) to `dispatcher_`, which asks the decision
-/// module and sends attempts through `fleet_`. Lists of hosts come from `feed_` (the change log) or
-/// `host_file_` (xDS) and go to `fleet_` first, then to `dispatcher_`.
+/// module and sends attempts through `fleet_`. Lists of hosts come from `membership_client_` (the
+/// change log) or `host_file_` (xDS) and go to `fleet_` first, then to `dispatcher_`.
 class Invoker {
  public:
   /// Reads the configuration file and starts all parts. Throws config::ConfigError, which names the faulty
@@ -47,32 +46,35 @@
   core::Dispatcher dispatcher_;
   core::Shutdown shutdown_;
   resp::Front front_;
-  std::optional<feed::MembershipClient> feed_;
+  std::optional<feed::MembershipClient> membership_client_;
   std::optional<xds::HostFile> host_file_;
   std::optional<amqp::Front> triggers_;
   Reloader reloader_;
   core::Millis next_status_{0};
-  bool ended_ = false;  // told to end before it could listen: nothing was taken that would need an answer
+  bool terminated_at_start_ = false;  // before it could listen: no call waits for an answer
 
-  /// A quarter of the memory limit, in bytes: the bound on what waits unwritten, on the bodies of open calls,
-  /// and on one line of the change log.
-  std::size_t memory_quarter() const { return (config_.memory_mb << 20) / 4; }
-
-  feed::EventSequence take_known_events();
+  /// Applies the events of the configuration; the result is where the change log has to go on.
+  feed::EventSequence apply_known_events();
   void start_membership();
   /// Retries an error that may be over in a moment; throws config::ConfigError for any other.
   void start_listening();
+  /// Serves the membership and the signals until `end`; false, at once, if the program is to end.
   bool run_until(core::Millis end);
+  /// True if the program is to end.
   bool serve_signals();
   void start_triggers();
   void update_members(const core::MemberList& list, core::ListKind kind);
+  /// Reads the configuration anew; throws config::ConfigError, and has then changed nothing.
   void reload();
   void on_reload_fault(const std::string& fault, bool last);
   void begin_shutdown(core::Millis now);
   void close_clients();
+  /// Carries out what is due by `now`; true once the program may end.
   bool shutdown_done(core::Millis now);
   void log_status();
   void log_counters();
+  void log_event(const std::string& text);
+  void report_error(const std::string& error);
 };
 
 }  // namespace pathstack::app
