--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -80,7 +80,7 @@
   }
 };
 
-// An invoker's front, whose system calls fail as told.
+// The front of an invoker whose system calls fail as a test asks.
 struct FrontUnderFaults {
   explicit FrontUnderFaults(std::size_t hosts = 0) : world(hosts) { REQUIRE(front.listen("127.0.0.1:0")); }
   World world;
@@ -89,7 +89,7 @@
   net::ScopedSystemCalls scope{calls};
 };
 
-// A client that sends one request, CHECK unless told otherwise.
+// A client that sends one request, CHECK by default.
 class CheckingClient final : public net::Stream {
  public:
   explicit CheckingClient(FrontUnderFaults& server,
@@ -154,9 +154,9 @@
   REQUIRE(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
   if (Millis(allow) > wait) {
     CHECK(client.word() == "OK");
-    const auto told = net::parse_fields(server.world.host[0]->last_fields);
-    REQUIRE(told);
-    const auto timeout = net::parse_whole(net::field(*told, "patience"), UINT64_MAX);
+    const auto exec_fields = net::parse_fields(server.world.host[0]->last_fields);
+    REQUIRE(exec_fields);
+    const auto timeout = net::parse_whole(net::field(*exec_fields, "patience"), UINT64_MAX);
     REQUIRE(timeout);
     CHECK(Millis(static_cast<double>(*timeout)) <= Millis(allow) - wait);
   } else {
@@ -204,7 +204,7 @@
   }
 }
 
-TEST_CASE("a failed call for the listener is told by its error, and tells a moment's from a lasting one") {
+TEST_CASE("a failed call for the listener is reported by its error, transient or lasting") {
   FailingCalls calls;
   const net::ScopedSystemCalls scope(calls);
   calls.socket_errors = {ENFILE};
@@ -239,7 +239,7 @@
   CHECK_FALSE(front.listen_error());
 }
 
-TEST_CASE("a poll that fails for want of memory does not spin, and timers still ring") {
+TEST_CASE("a poll that fails for want of memory does not spin, and timers still fire") {
   for (const int error : {ENOMEM, EINVAL}) {
     CAPTURE(error);
     net::Loop loop;
