--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -13,7 +13,7 @@
 #include "core/log_writer.h"
 #include "core/shutdown.h"
 #include "feed/membership_client.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "net/loop.h"
 #include "resp/front.h"
 #include "xds/host_file.h"
@@ -42,7 +42,7 @@
   core::Counters counters_;
   core::LogWriter log_, errors_;
   net::BufferPool pool_;
-  hosts::Fleet fleet_;
+  hosts::ConnectionPool fleet_;
   core::Dispatcher dispatcher_;
   core::Shutdown shutdown_;
   resp::Front front_;
--- /dev/null
+++ b/src/hosts/connection.cpp
@@ -0,0 +1,252 @@
+#include "hosts/connection.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pathstack::hosts {
+namespace {
+
+using core::Outcome;
+
+constexpr Millis kSuspectSilence{400};    // an attempt dropped after such a silence: the host may be cut off
+constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
+constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
+constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
+
+core::Counter answer_counter(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::ok: return core::Counter::hosts_answers_data;
+    case Outcome::miss: return core::Counter::hosts_answers_absent;
+    case Outcome::full: return core::Counter::hosts_answers_full;
+    case Outcome::moot: return core::Counter::hosts_answers_moot;
+    default: return core::Counter::hosts_answers_failed;
+  }
+}
+
+}  // namespace
+
+Connection::Connection(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Limits& limits,
+                       ConnectionObserver& observer, std::string host, net::Socket socket)
+    : Stream(loop, pool, std::move(socket), true),
+      counters_(counters),
+      limits_(limits),
+      observer_(observer),
+      host_(std::move(host)),
+      decoder_(limits.report_fields),
+      history_(limits.duplicate_window),
+      attempts_(*this),
+      requests_(
+          loop, *this, limits.order_timeout, [this] { return observer_.take_load_budget(); },
+          [this](const OpenRequest& request) { request_timed_out(request); }),
+      monitor_(loop, *this, counters, attempts_, requests_, limits.probes) {
+  idle_timer_ = loop.at(loop.now() + limits_.connect_timeout, [this] {
+    counters_.add(core::Counter::hosts_connect_timeouts);
+    end_later();
+  });
+}
+
+Connection::~Connection() { cancel_timers(); }
+
+void Connection::cancel_timers() {
+  loop().cancel(idle_timer_);
+  loop().cancel(drain_timer_);
+  monitor_.stop();
+}
+
+bool Connection::accepts(const std::string& ref) const {
+  const bool usable = !ending() && !retired_ && !silent_at_drop_;
+  return usable && attempts_.size() < limits_.attempts_a_link && !attempts_.contains(ref) &&
+         history_.reusable(ref, loop().now());
+}
+
+void Connection::exec(const core::Attempt& attempt, const core::Call& call, Millis timeout) {
+  history_.reuse(call.ref);
+  attempts_.add(attempt, call, loop().now(), timeout);
+  update_idle_timer();
+  monitor_.watch();
+}
+
+bool Connection::drop(const core::Attempt& attempt) {
+  const auto ref = attempts_.ref_of(attempt);
+  if (!ref) return false;
+  const auto dropped = attempts_.remove(*ref);
+  if (!dropped->message.written) return false;
+  const Millis now = loop().now();
+  // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
+  const Millis silent_since = std::max(monitor_.liveness().last_received(), dropped->added_at);
+  if (now - silent_since > kSuspectSilence) silent_at_drop_ = true;
+  // At once: the next attempt may leave on another connection in this very turn.
+  write(encode_drop(*ref));
+  history_.dropped(*ref, now, outbox().appended());
+  const bool flushed = flush_now();
+  if (!flushed) end_later();  // the host reads nothing; closing gives the attempt up
+  update_idle_timer();
+  // What was not handed over completely by now never will be.
+  return dropped->message.has_left(outbox());
+}
+
+void Connection::order_load(const std::string& tag, std::uint64_t function, int instances) {
+  send_request(tag, OpenRequest::Kind::load_order, function, encode_load_order(tag, function, instances));
+}
+
+void Connection::probe(const std::string& tag) {
+  send_request(tag, OpenRequest::Kind::probe, 0, encode_probe(tag));
+}
+
+void Connection::unload(std::uint64_t function) {
+  requests_.send_unanswered(encode_release(function));
+  update_idle_timer();
+}
+
+void Connection::send_request(const std::string& tag, OpenRequest::Kind kind, std::uint64_t function,
+                              const std::string& message) {
+  requests_.add(tag, kind, function, message);
+  update_idle_timer();
+  monitor_.watch();
+}
+
+void Connection::stop_using() {
+  retired_ = true;
+  update_idle_timer();
+}
+
+void Connection::drain() {
+  retired_ = true;
+  if (connecting()) return end_later();
+  if (!outbox().empty()) {
+    // Bytes that a host does not read could leave long after the list has called it draining.
+    loop().cancel(drain_timer_);
+    const Millis grace = std::max(limits_.drain_grace * kDrainGraceShare, kMinDrainGrace);
+    drain_timer_ = loop().at(loop().now() + grace, [this] {
+      if (!outbox().empty()) end_later();
+    });
+  }
+  update_idle_timer();
+}
+
+void Connection::replace() {
+  replaced_ = true;
+  drain();
+}
+
+void Connection::connected() {
+  const Millis now = loop().now();
+  monitor_.liveness().connected(now);
+  counters_.add(core::Counter::hosts_links_up);
+  requests_.connected();
+  attempts_.connected(now);
+  update_idle_timer();
+}
+
+void Connection::received(std::string_view bytes) {
+  silent_at_drop_ = false;
+  std::vector<Reply> replies;
+  bool sound = parser_.take(bytes, replies);
+  monitor_.liveness().received(loop().now(), parser_.begun(), !replies.empty());
+  for (auto& reply : replies) {
+    if (ending()) return;
+    if (take_answer(std::move(reply))) continue;
+    sound = false;  // what follows it proves no more than it does
+    break;
+  }
+  if (!sound) {
+    counters_.add(core::Counter::hosts_malformed);
+    end_later();
+  }
+  update_idle_timer();
+}
+
+// False if it is malformed: whatever is open here then ends as what it is, something that may have run.
+bool Connection::take_answer(Reply&& reply) {
+  auto answer = decoder_.decode(std::move(reply));
+  if (!answer) return false;
+  if (attempts_.contains(answer->id)) return take_attempt_answer(std::move(*answer));
+  if (const auto request = requests_.remove(answer->id)) {
+    take_request_answer(*request, std::move(*answer));
+  } else {
+    take_unexpected_answer(answer->id);
+  }
+  return true;
+}
+
+bool Connection::take_attempt_answer(Answer&& answer) {
+  if (!answer.fits_attempt()) return false;
+  const auto open = attempts_.remove(answer.id);
+  monitor_.liveness().reset_backoff();
+  history_.answered(answer.id, loop().now());
+  history_.confirm_read(open->message.end);
+  counters_.add(answer_counter(answer.outcome));
+  core::AttemptEnd end{answer.outcome, answer.crowd, std::move(answer.report),
+                       std::move(answer.body).value_or("")};
+  observer_.on_attempt_ended(open->attempt, std::move(end));
+  return true;
+}
+
+void Connection::take_request_answer(const OpenRequest& request, Answer&& answer) {
+  history_.confirm_read(request.message.end);
+  report_request_end(request, answer.outcome, answer.instances, std::move(answer.report));
+}
+
+void Connection::take_unexpected_answer(const std::string& id) {
+  if (history_.take_late_answer(id, loop().now()) == RefHistory::Late::first) {
+    counters_.add(core::Counter::hosts_late_answers);  // to an attempt dropped meanwhile
+    return;
+  }
+  // More than belongs to it: what is open here keeps its own answers, nothing new is sent.
+  counters_.add(core::Counter::hosts_surplus_answers);
+  stop_using();
+}
+
+void Connection::request_timed_out(const OpenRequest& request) {
+  monitor_.liveness().reset_backoff();
+  update_idle_timer();
+  report_request_end(request, Outcome::timeout, 0, std::nullopt);
+}
+
+// The end of a health check concerns nobody else.
+void Connection::report_request_end(const OpenRequest& request, Outcome outcome, int instances,
+                                    core::Report report) {
+  const Millis elapsed = loop().now() - request.added_at;
+  if (request.kind == OpenRequest::Kind::load_order) {
+    observer_.on_load_ended({host_, request.function, outcome, elapsed, instances});
+  } else if (request.kind == OpenRequest::Kind::probe) {
+    observer_.on_probe_ended({host_, outcome, elapsed, std::move(report)});
+  }
+}
+
+// Restarts the wait for the end of an unused connection; none runs while anything is open.
+void Connection::update_idle_timer() {
+  if (connecting()) return;
+  loop().cancel(idle_timer_);
+  if (load() > 0) return;
+  const bool usable = !retired_ && !silent_at_drop_;
+  const Millis idle = usable ? limits_.idle * kIdleShare : Millis(0);
+  idle_timer_ = loop().at(loop().now() + idle, [this] { end_later(); });
+}
+
+void Connection::backlog_discarded() { counters_.add(core::Counter::hosts_unread_closed); }
+
+// Only a close or a reset shows that the process may have died: a network that gave up, a silence or an
+// answer that can't be understood does not.
+Outcome Connection::outcome_at_end(const SentMessage& message) const {
+  if (!message.has_left(outbox())) return Outcome::connect_failed;
+  const bool ended_by_host =
+      end_cause() == net::StreamEnd::closed_by_peer || end_cause() == net::StreamEnd::reset_by_peer;
+  return ended_by_host ? Outcome::reset : Outcome::unreachable;
+}
+
+void Connection::ended() {
+  cancel_timers();
+  const auto attempts = attempts_.remove_all();
+  const auto requests = requests_.remove_all();
+  observer_.on_connection_closed(*this);  // this object lives to the turn's end
+  if (!monitor_.liveness().ever_connected()) counters_.add(core::Counter::hosts_links_refused);
+  for (const auto& open : attempts) {
+    observer_.on_attempt_ended(open.attempt, {outcome_at_end(open.message), 0, std::nullopt, {}});
+  }
+  for (const auto& request : requests) {
+    report_request_end(request, outcome_at_end(request.message), 0, std::nullopt);
+  }
+}
+
+}  // namespace pathstack::hosts
--- /dev/null
+++ b/src/hosts/connection_pool.cpp
@@ -0,0 +1,224 @@
+#include "hosts/connection_pool.h"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+namespace pathstack::hosts {
+
+using core::Outcome;
+using core::WorkerState;
+
+ConnectionPool::ConnectionPool(net::Loop& loop, net::BufferPool& pool, core::Counters& counters,
+                               Limits limits)
+    : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)) {
+  // Where a connection carries few calls, a fixed number of them would keep a host's slots empty.
+  limits_.links_a_host = std::max(limits_.links_a_host, limits_.calls_a_host / limits_.attempts_a_link);
+}
+
+ConnectionPool::~ConnectionPool() = default;
+
+void ConnectionPool::Host::drain() {
+  for (const auto& connection : connections) connection->drain();
+}
+
+void ConnectionPool::Host::replace() {
+  for (const auto& connection : connections) connection->replace();
+}
+
+void ConnectionPool::members(const core::MemberList& list) {
+  std::set<std::string> named;
+  for (const auto& member : list.members) {
+    named.insert(member.entry.worker);
+    update_member(member);
+  }
+  for (auto i = hosts_.begin(); i != hosts_.end();) {
+    Host& host = i->second;
+    if (list.complete && named.count(i->first) == 0) {
+      host.member.entry.state = WorkerState::gone;
+      host.drain();
+    }
+    // Hosts that are gone are forgotten with their last connection, or every deploy would leave some behind.
+    const bool forgotten = host.member.entry.state == WorkerState::gone && host.connections.empty();
+    if (forgotten) index_address(i->first, host.member.address, {});
+    i = forgotten ? hosts_.erase(i) : std::next(i);
+  }
+}
+
+void ConnectionPool::update_member(const core::Member& member) {
+  const std::string& id = member.entry.worker;
+  Host& host = hosts_[id];
+  const bool known = !host.member.entry.worker.empty();
+  // Stamps come from the host's wall clock, which may be stepped back: any change is a restart. Zero says
+  // nothing: entries of hosts that drain or are gone need not have a stamp.
+  const Millis stamp_before = host.member.entry.started;
+  const bool stamped = member.entry.started.count() != 0;
+  const bool moved = member.address != host.member.address;
+  const bool restarted = known && (moved || (stamped && member.entry.started != stamp_before));
+  if (restarted) host.replace();
+  if (moved) index_address(id, host.member.address, member.address);
+  host.member = member;
+  if (!stamped) host.member.entry.started = stamp_before;
+  if (member.entry.state != WorkerState::ready) return host.drain();
+  replace_others_at(member.address, id);
+}
+
+// A new host may stand at the address of one that is gone, and be taken for it.
+void ConnectionPool::replace_others_at(const std::string& address, const std::string& id) {
+  const auto [first, last] = ids_by_address_.equal_range(address);
+  for (auto other = first; other != last; ++other) {
+    if (other->second != id) hosts_.at(other->second).replace();
+  }
+}
+
+// An empty address is not kept.
+void ConnectionPool::index_address(const std::string& id, const std::string& before, const std::string& now) {
+  const auto [first, last] = ids_by_address_.equal_range(before);
+  const auto found = std::find_if(first, last, [&](const auto& entry) { return entry.second == id; });
+  if (found != last) ids_by_address_.erase(found);
+  if (!now.empty()) ids_by_address_.emplace(now, id);
+}
+
+ConnectionPool::Host* ConnectionPool::ready_host(const std::string& id) {
+  const auto found = hosts_.find(id);
+  if (found != hosts_.end() && found->second.member.entry.state == WorkerState::ready) return &found->second;
+  counters_.add(core::Counter::guard_host_not_ready);
+  return nullptr;
+}
+
+ConnectionPool::ConnectionChoice ConnectionPool::connection_to_ready_host(const std::string& id,
+                                                                          const std::string& ref) {
+  Host* host = ready_host(id);
+  return host == nullptr ? ConnectionChoice{} : connection_for(*host, ref);
+}
+
+// The least loaded one that takes `ref`, or else a new one.
+ConnectionPool::ConnectionChoice ConnectionPool::connection_for(Host& host, const std::string& ref) {
+  Connection* least_loaded = nullptr;
+  std::size_t counted = 0;
+  for (const auto& connection : host.connections) {
+    counted += connection->counts_for_host() ? 1 : 0;
+    if (!connection->accepts(ref)) continue;
+    if (least_loaded == nullptr || connection->load() < least_loaded->load()) least_loaded = connection.get();
+  }
+  if (least_loaded != nullptr) return {least_loaded};
+  // With more hosts than connections may be up, those to hosts used a while ago would keep out all others.
+  const bool may_open =
+      counted < limits_.links_a_host && (connections_ < limits_.links || close_idle_connection());
+  if (may_open) return open_connection(host);
+  counters_.add(core::Counter::hosts_no_link);
+  return {nullptr, Outcome::not_sent};
+}
+
+ConnectionPool::ConnectionChoice ConnectionPool::open_connection(Host& host) {
+  net::ConnectResult result = net::begin_connect(host.member.address);
+  if (result.fault != net::ConnectFault::none) {
+    const bool local = result.fault == net::ConnectFault::local;
+    counters_.add(local ? core::Counter::hosts_connect_local_faults : core::Counter::hosts_connect_failed);
+    return {nullptr, local ? Outcome::not_sent : Outcome::connect_failed};
+  }
+  counters_.add(core::Counter::hosts_links_opened);
+  local_fault_backoff_.reset();
+  ++connections_;
+  ConnectionObserver& observer = *this;
+  host.connections.push_back(std::make_shared<Connection>(
+      loop_, pool_, counters_, limits_, observer, host.member.entry.worker, std::move(result.socket)));
+  return {host.connections.back().get()};
+}
+
+// Ends the one longest unused; false if none is idle.
+bool ConnectionPool::close_idle_connection() {
+  std::shared_ptr<Connection> oldest;
+  for (const auto& [id, host] : hosts_) {
+    for (const auto& connection : host.connections) {
+      if (!connection->idle()) continue;
+      if (!oldest || connection->last_used() < oldest->last_used()) oldest = connection;
+    }
+  }
+  if (!oldest) return false;
+  counters_.add(core::Counter::hosts_idle_ended);
+  oldest->end_later();
+  oldest->flush();  // at once: its descriptor is needed
+  return true;
+}
+
+// The host's failure is reported at once; a local fault after a backoff, but well within `timeout`: past that
+// the attempt would be taken for one that its host has kept waiting.
+void ConnectionPool::report_failure(Outcome failure, Millis timeout, std::function<void()> report) {
+  const Millis now = loop_.now();
+  const bool local = failure == Outcome::not_sent;
+  const Millis delay = local ? std::min(local_fault_backoff_.next(now), timeout / 2) : Millis(0);
+  loop_.at(loop_.now() + delay, std::move(report));
+}
+
+void ConnectionPool::exec(const core::Attempt& attempt, const std::string& id, const core::Call& call,
+                          Millis timeout) {
+  const auto [connection, failure] = connection_to_ready_host(id, call.ref);
+  if (connection == nullptr) {
+    return report_failure(failure, timeout, [this, attempt, outcome = failure] {
+      dispatcher_->attempt_ended(attempt, {outcome, 0, std::nullopt, {}});
+    });
+  }
+  attempts_[attempt] = connection;
+  connection->exec(attempt, call, timeout);
+}
+
+bool ConnectionPool::drop(const core::Attempt& attempt) {
+  const auto found = attempts_.find(attempt);
+  if (found == attempts_.end()) return false;
+  Connection* connection = found->second;
+  attempts_.erase(found);
+  return connection->drop(attempt);
+}
+
+void ConnectionPool::probe(const std::string& id) {
+  const auto [connection, failure] = connection_to_ready_host(id, {});
+  if (connection == nullptr) {
+    return report_failure(failure, limits_.order_timeout, [this, id, outcome = failure] {
+      dispatcher_->probe_ended({id, outcome, Millis(0), std::nullopt});
+    });
+  }
+  counters_.add(core::Counter::hosts_probes);
+  connection->probe("p" + std::to_string(++last_tag_));
+}
+
+void ConnectionPool::ensure(const std::string& id, std::uint64_t function, int instances) {
+  const auto [connection, failure] = connection_to_ready_host(id, {});
+  if (connection == nullptr) {
+    return report_failure(failure, limits_.order_timeout, [this, id, function, outcome = failure] {
+      dispatcher_->load_ended({id, function, outcome, Millis(0), 0});
+    });
+  }
+  connection->order_load("t" + std::to_string(++last_tag_), function, instances);
+}
+
+void ConnectionPool::release(const std::string& id, std::uint64_t function) {
+  Connection* connection = connection_to_ready_host(id, {}).connection;
+  if (connection != nullptr) connection->unload(function);
+}
+
+void ConnectionPool::on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) {
+  attempts_.erase(attempt);
+  dispatcher_->attempt_ended(attempt, std::move(end));
+}
+
+void ConnectionPool::on_load_ended(core::LoadOutcome&& end) { dispatcher_->load_ended(std::move(end)); }
+
+void ConnectionPool::on_probe_ended(core::ProbeOutcome&& end) { dispatcher_->probe_ended(std::move(end)); }
+
+bool ConnectionPool::take_load_budget() { return dispatcher_->take_load_budget(); }
+
+void ConnectionPool::on_connection_closed(Connection& connection) {
+  --connections_;
+  counters_.add(core::Counter::hosts_links_ended);
+  for (auto i = attempts_.begin(); i != attempts_.end();) {
+    i = i->second == &connection ? attempts_.erase(i) : std::next(i);
+  }
+  auto& connections = hosts_.at(connection.host()).connections;
+  const auto found = std::find_if(connections.begin(), connections.end(),
+                                  [&](const auto& other) { return other.get() == &connection; });
+  loop_.defer_destruction(*found);
+  connections.erase(found);
+}
+
+}  // namespace pathstack::hosts
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -5,16 +5,26 @@
 #include "net/fields.h"
 
 namespace pathstack::hosts {
+namespace {
 
-bool LineParser::whole_line(std::vector<Reply>& out) {
+constexpr std::string_view kLineEnd = "\r\n";
+
+std::vector<std::string> split_words(const std::string& line) {
   std::vector<std::string> words(1);
-  for (const char c : line_) {
+  for (const char c : line) {
     if (c == ' ') {
       words.emplace_back();
     } else {
       words.back() += c;
     }
   }
+  return words;
+}
+
+}  // namespace
+
+bool LineParser::end_line(std::vector<Reply>& out) {
+  std::vector<std::string> words = split_words(line_);
   line_.clear();
   if (words.size() < 2 || words.size() > 4 || words[0].empty() || words[1].empty()) return false;
   reply_ = Reply{std::move(words[0]), std::move(words[1]), {}, {}};
@@ -23,47 +33,61 @@
     out.push_back(std::move(reply_));
     return true;
   }
-  const auto length = net::parse_whole(words[3], longest_body);
+  const auto length = net::parse_whole(words[3], kMaxBody);
   if (!length) return false;
   reply_.body.emplace();
   body_left_ = *length;
-  ending_ = 0;
+  line_end_received_ = 0;
   state_ = State::body;
   return true;
 }
 
 bool LineParser::take(std::string_view bytes, std::vector<Reply>& out) {
-  while (!bytes.empty() && state_ != State::spoilt) {
-    if (state_ == State::body && body_left_ > 0) {
-      const std::size_t part = std::min(body_left_, bytes.size());
-      reply_.body->append(bytes.substr(0, part));
-      bytes.remove_prefix(part);
-      body_left_ -= part;
-    } else if (state_ == State::body) {
-      if (bytes.front() != "\r\n"[ending_]) {
-        state_ = State::spoilt;
-        break;
-      }
-      bytes.remove_prefix(1);
-      if (++ending_ < 2) continue;
-      out.push_back(std::move(reply_));
-      state_ = State::line;
+  while (!bytes.empty() && state_ != State::malformed) {
+    if (state_ == State::line) {
+      take_line(bytes, out);
+    } else if (body_left_ > 0) {
+      take_body(bytes);
     } else {
-      const auto end = bytes.find('\n');
-      line_.append(bytes.substr(0, std::min(end, longest_line + 1)));
-      // Guards memory against a line without an end.
-      if (line_.size() > longest_line) state_ = State::spoilt;
-      if (end == std::string_view::npos) break;
-      bytes.remove_prefix(end + 1);
-      if (state_ == State::spoilt || line_.empty() || line_.back() != '\r') {
-        state_ = State::spoilt;
-        break;
-      }
-      line_.pop_back();
-      if (!whole_line(out)) state_ = State::spoilt;
+      take_line_end(bytes, out);
     }
   }
-  return state_ != State::spoilt;
+  return state_ != State::malformed;
+}
+
+void LineParser::take_line(std::string_view& bytes, std::vector<Reply>& out) {
+  const auto end = bytes.find('\n');
+  const bool complete = end != std::string_view::npos;
+  line_.append(bytes.substr(0, std::min(end, kMaxLine + 1)));
+  bytes.remove_prefix(complete ? end + 1 : bytes.size());
+  // Guards memory against a line without an end.
+  const bool too_long = line_.size() > kMaxLine;
+  const bool wrong_end = complete && (line_.empty() || line_.back() != '\r');
+  if (too_long || wrong_end) {
+    state_ = State::malformed;
+    return;
+  }
+  if (!complete) return;
+  line_.pop_back();
+  if (!end_line(out)) state_ = State::malformed;
+}
+
+void LineParser::take_body(std::string_view& bytes) {
+  const std::size_t part = std::min(body_left_, bytes.size());
+  reply_.body->append(bytes.substr(0, part));
+  bytes.remove_prefix(part);
+  body_left_ -= part;
+}
+
+void LineParser::take_line_end(std::string_view& bytes, std::vector<Reply>& out) {
+  if (bytes.front() != kLineEnd[line_end_received_]) {
+    state_ = State::malformed;
+    return;
+  }
+  bytes.remove_prefix(1);
+  if (++line_end_received_ < kLineEnd.size()) return;
+  out.push_back(std::move(reply_));
+  state_ = State::line;
 }
 
 }  // namespace pathstack::hosts
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -1,6 +1,8 @@
-// The hosts' answers: lines of words, some with a body of a stated length, in whatever pieces they come.
+/// Cuts the bytes of the hosts' line protocol into replies: lines of words, some with a body of a stated
+/// length, in whatever pieces they come.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -8,27 +10,36 @@
 
 namespace pathstack::hosts {
 
+/// One line of the protocol with its body, not yet decoded.
 struct Reply {
   std::string id, word, fields;     // fields: empty for '-'
-  std::optional<std::string> body;  // absent: no length was told
+  std::optional<std::string> body;  // absent: no length was given
 };
 
+/// Parses one connection's input. Memory: one line, or one body, within the limits below.
 class LineParser {
  public:
-  static constexpr std::size_t longest_line = 2048, longest_body = 1U << 20;
+  static constexpr std::size_t kMaxLine = 2048;  // bytes, the CR included
+  static constexpr std::size_t kMaxBody = std::size_t{1} << 20;
 
-  // Takes all bytes; whole replies are added to `out`. False once the stream cannot be understood any more.
+  /// Takes all bytes; complete replies are added to `out`. False once the stream cannot be understood any
+  /// more, for good. Cost: linear in the bytes.
   bool take(std::string_view bytes, std::vector<Reply>& out);
-  bool begun() const { return state_ == State::body || !line_.empty(); }  // a reply, and its rest has to come
+  /// True if a reply has begun and its rest has to come.
+  bool begun() const { return state_ == State::body || !line_.empty(); }
 
  private:
-  enum class State { line, body, spoilt };
+  enum class State { line, body, malformed };
   State state_ = State::line;
   std::string line_;
   Reply reply_;
-  std::size_t body_left_ = 0, ending_ = 0;  // ending_: bytes of the CR LF after a body that have come
+  std::size_t body_left_ = 0;
+  std::size_t line_end_received_ = 0;  // bytes of the CR LF after a body
 
-  bool whole_line(std::vector<Reply>& out);
+  void take_line(std::string_view& bytes, std::vector<Reply>& out);
+  void take_body(std::string_view& bytes);
+  void take_line_end(std::string_view& bytes, std::vector<Reply>& out);
+  bool end_line(std::vector<Reply>& out);
 };
 
 }  // namespace pathstack::hosts
--- a/src/hosts/liveness.cpp
+++ b/src/hosts/liveness.cpp
@@ -6,31 +6,32 @@
 namespace pathstack::hosts {
 namespace {
 
-constexpr Millis kMinSilence{200};      // a connection with something out is checked once silent for so long,
-constexpr double kSilenceShare = 0.15;  // and for this part of the call's time-out over the calls out on it
+constexpr Millis kMinSilence{200};      // a connection in use is checked once silent for so long,
+constexpr double kSilenceShare = 0.15;  // and for this part of the call's time-out over the calls open on it
 constexpr Millis kCheckTimeout{250};    // a health check is answered beside the queue
-constexpr Millis kPartialTimeout{200};  // an answer that has begun is whole by then, or its rest never comes
+constexpr Millis kPartialTimeout{
+    200};  // an answer that has begun is complete by then, or its rest never comes
 
 }  // namespace
 
-void Liveness::received(Millis now, bool partial, bool whole) {
-  heard_ = now;
+void Liveness::received(Millis now, bool partial, bool completed) {
+  received_at_ = now;
   if (!partial) {
     partial_since_ = Millis(0);
-  } else if (partial_since_.count() == 0 || whole) {
+  } else if (partial_since_.count() == 0 || completed) {
     partial_since_ = now;
   }
 }
 
 void Liveness::checked(Millis now) {
-  checked_ = now;
+  checked_at_ = now;
   ++checks_since_answer_;
 }
 
 Liveness::Verdict Liveness::judge(Millis now, Millis timeout, std::size_t calls) const {
   if (partial_since_.count() > 0 && now - partial_since_ > kPartialTimeout) return Verdict::answer_cut_off;
-  const bool check_out = checked_ > heard_;
-  if (check_out) return now - checked_ > kCheckTimeout ? Verdict::silent : Verdict::fine;
+  const bool check_unanswered = checked_at_ > received_at_;
+  if (check_unanswered) return now - checked_at_ > kCheckTimeout ? Verdict::silent : Verdict::fine;
   const double share = kSilenceShare / static_cast<double>(std::max<std::size_t>(calls, 1));
   const Millis allowed = std::max(kMinSilence, share * timeout) * std::exp2(checks_since_answer_);
   return now - last_used() > allowed ? Verdict::check_due : Verdict::fine;
--- /dev/null
+++ b/src/hosts/open_attempts.cpp
@@ -0,0 +1,83 @@
+#include "hosts/open_attempts.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pathstack::hosts {
+namespace {
+
+constexpr Millis kMinTimeout{1};  // the least that the protocol can state
+// An attempt carries the time that its client has left. One that leaves later than this, or an interval of
+// the liveness checks more, would carry more than is left.
+constexpr Millis kMaxUnsentAge{80};
+
+}  // namespace
+
+void OpenAttempts::add(const core::Attempt& attempt, const core::Call& call, Millis now, Millis timeout) {
+  ExecRequest request = exec_request_of(call);
+  OpenAttempt open;
+  open.attempt = attempt;
+  open.added_at = now;
+  last_timeout_ = timeout;
+  if (stream_.connecting()) {
+    waiting_.push_back({std::move(request), now + timeout});
+  } else {
+    write(request, now, timeout, open);
+  }
+  by_ref_.emplace(call.ref, open);
+}
+
+void OpenAttempts::connected(Millis now) {
+  const auto waiting = std::move(waiting_);
+  waiting_.clear();
+  for (const auto& [request, expires_at] : waiting) {
+    write(request, now, expires_at - now, by_ref_.at(request.ref));
+  }
+}
+
+// Nothing is written past the client's time; the dispatcher drops the attempt in its next turn.
+void OpenAttempts::write(const ExecRequest& request, Millis now, Millis timeout, OpenAttempt& open) {
+  if (timeout < kMinTimeout) return;
+  stream_.write(encode_exec(request, timeout));
+  open.message = {true, stream_.outbox().appended()};
+  open.written_at = now;
+}
+
+std::optional<std::string> OpenAttempts::ref_of(const core::Attempt& attempt) const {
+  const auto found = std::find_if(by_ref_.begin(), by_ref_.end(),
+                                  [&](const auto& entry) { return entry.second.attempt == attempt; });
+  if (found == by_ref_.end()) return std::nullopt;
+  return found->first;
+}
+
+std::optional<OpenAttempt> OpenAttempts::remove(const std::string& ref) {
+  const auto found = by_ref_.find(ref);
+  if (found == by_ref_.end()) return std::nullopt;
+  const OpenAttempt open = found->second;
+  by_ref_.erase(found);
+  if (!open.message.written) {
+    const auto same = [&](const Waiting& waiting) { return waiting.request.ref == ref; };
+    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), same), waiting_.end());
+  }
+  return open;
+}
+
+std::vector<OpenAttempt> OpenAttempts::remove_all() {
+  std::vector<OpenAttempt> all;
+  for (const auto& [ref, open] : by_ref_) all.push_back(open);
+  by_ref_.clear();
+  waiting_.clear();
+  return all;
+}
+
+bool OpenAttempts::has_overdue(Millis now) const {
+  const net::Outbox& outbox = stream_.outbox();
+  if (outbox.empty()) return false;
+  return std::any_of(by_ref_.begin(), by_ref_.end(), [&](const auto& entry) {
+    const OpenAttempt& open = entry.second;
+    const bool unsent = open.message.written && !open.message.has_left(outbox);
+    return unsent && now - open.written_at > kMaxUnsentAge;
+  });
+}
+
+}  // namespace pathstack::hosts
--- a/src/hosts/ref_history.h
+++ b/src/hosts/ref_history.h
@@ -1,4 +1,4 @@
-// Which refs of ended attempts may still get an answer on a connection.
+/// Which refs of ended attempts may still get an answer on a connection.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,10 @@
 /// All operations take amortised constant time.
 class RefHistory {
  public:
+  /// What an answer to no open attempt is.
   enum class Late { first, duplicate, unknown };
 
+  /// A host may send an answer twice within `duplicate_window`.
   explicit RefHistory(Millis duplicate_window) : duplicate_window_(duplicate_window) {}
 
   /// The attempt under `ref` has got its answer.
@@ -35,7 +37,7 @@
   void dropped(const std::string& ref, Millis now, std::uint64_t drop_end);
   /// A request was answered whose last byte stood before the offset `request_end`.
   void confirm_read(std::uint64_t request_end);
-  /// Tells what an answer to none of the open attempts is: the first one to a dropped attempt, a further one
+  /// Classifies an answer to none of the open attempts: the first one to a dropped attempt, a further one
   /// to an attempt that has its answer, or one that belongs to nothing sent here.
   Late take_late_answer(const std::string& ref, Millis now);
   /// True if an attempt may go out under `ref`.
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -3,7 +3,7 @@
 #include <cerrno>
 #include <map>
 
-#include "hosts/link.h"
+#include "hosts/connection.h"
 #include "support/scripted_calls.h"
 #include "support/world.h"
 
@@ -42,26 +42,26 @@
 }
 
 /// One connection to one stand-in host, without the pool and the dispatcher.
-struct SingleLink final : hosts::LinkObserver {
+struct SingleConnection final : hosts::ConnectionObserver {
   net::Loop loop;
   net::BufferPool pool{64};
   core::Counters counters;
   hosts::Limits limits = World::limits();
   StandInHost host{loop, pool};
-  std::shared_ptr<hosts::Link> link;
+  std::shared_ptr<hosts::Connection> connection;
   std::map<core::Attempt, Outcome> attempts;
   std::vector<Outcome> loads, probes;
   bool closed = false;
 
-  SingleLink() {
+  SingleConnection() {
     host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   }
   void connect() {
-    LinkObserver& observer = *this;
-    net::ConnectResult connection = net::begin_connect(host.server.address());
-    REQUIRE(connection.fault == net::ConnectFault::none);
-    link = std::make_shared<hosts::Link>(loop, pool, counters, limits, observer, "h0",
-                                         std::move(connection.socket));
+    ConnectionObserver& observer = *this;
+    net::ConnectResult result = net::begin_connect(host.server.address());
+    REQUIRE(result.fault == net::ConnectFault::none);
+    connection = std::make_shared<hosts::Connection>(loop, pool, counters, limits, observer, "h0",
+                                                     std::move(result.socket));
   }
   template <typename Until>
   bool turn_until(const Until& until) {
@@ -74,7 +74,7 @@
   }
   void on_load_ended(core::LoadOutcome&& end) override { loads.push_back(end.outcome); }
   void on_probe_ended(core::ProbeOutcome&& end) override { probes.push_back(end.outcome); }
-  void on_link_closed(hosts::Link&) override { closed = true; }
+  void on_connection_closed(hosts::Connection&) override { closed = true; }
   bool take_load_budget() override { return true; }
 };
 
@@ -183,22 +183,22 @@
 }
 
 TEST_CASE("a refused connection is the host's failure, and nothing ran") {
-  SingleLink single;
+  SingleConnection single;
   single.host.server.stop();
   single.connect();
-  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   REQUIRE(single.turn_until([&] { return single.closed; }));
   CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
 }
 
 // Failure found in review: any end of a connection was reported as the reset that shows a dead process.
 TEST_CASE("only a close or a reset shows that the process died; a network that gave up does not") {
-  SingleLink single;
+  SingleConnection single;
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
   single.connect();
-  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(5000));
-  single.link->order_load("t1", 0xa1, 1);
+  single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(5000));
+  single.connection->order_load("t1", 0xa1, 1);
   single.host.loads = true;
   REQUIRE(single.turn_until([&] { return single.host.execs == 1 && single.host.orders == 1; }));
   Outcome expected = Outcome::reset;
@@ -212,8 +212,8 @@
     const int error = GENERATE(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE);
     if (error != ECONNRESET && error != EPIPE) expected = Outcome::unreachable;
     calls.send_error = error;
-    single.link->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
-    single.link->probe("p1");
+    single.connection->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
+    single.connection->probe("p1");
   }
   SECTION("the host closes") { single.host.server.peers.front()->end_later(); }
   SECTION("the host sends what can't be understood") {
@@ -230,10 +230,10 @@
 }
 
 TEST_CASE("a host that is silent on a connection is not reported as dead") {
-  SingleLink single;
+  SingleConnection single;
   single.host.mute = true;
   single.connect();
-  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   REQUIRE(single.turn_until([&] { return single.closed; }));
   CHECK(single.counters.value(core::Counter::hosts_silent_links) == 1);
   CHECK(single.attempts.at({1, 0}) == Outcome::unreachable);
@@ -262,29 +262,29 @@
 }
 
 TEST_CASE("an attempt whose time is over when its connection comes up does not leave") {
-  SingleLink single;
+  SingleConnection single;
   single.host.react = [](const std::string&) { return Reaction(); };
   single.connect();
   const Millis timeout{5};
-  single.link->exec({1, 0}, call_of("000000000000000a"), timeout);
-  single.link->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
+  single.connection->exec({1, 0}, call_of("000000000000000a"), timeout);
+  single.connection->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
   const Millis until = single.loop.now() + timeout;
   while (single.loop.now() < until) {}  // the connection is not up before the next turn
   REQUIRE(single.turn_until([&] { return !single.attempts.empty(); }));
   CHECK(single.attempts.at({2, 0}) == Outcome::ok);
   CHECK(single.host.execs == 1);
-  CHECK_FALSE(single.link->drop({1, 0}));
+  CHECK_FALSE(single.connection->drop({1, 0}));
 }
 
 // Failure found in review: bytes that a host did not read left later, with the time that was left before.
 TEST_CASE("an attempt that its host does not take in never leaves with more time than its client has left") {
-  SingleLink single;
+  SingleConnection single;
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
   single.connect();
-  REQUIRE(single.turn_until([&] { return single.link->open(); }));
+  REQUIRE(single.turn_until([&] { return single.connection->open(); }));
   calls.send_error = EAGAIN;
-  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   SECTION("it waits") {
     const Millis until = single.loop.now() + Millis(300);
     REQUIRE(single.turn_until([&] {
@@ -296,7 +296,7 @@
   }
   SECTION("its client goes") {
     single.loop.turn(single.loop.now(), [] {});
-    CHECK_FALSE(single.link->drop({1, 0}));
+    CHECK_FALSE(single.connection->drop({1, 0}));
     calls.send_error = 0;
     REQUIRE(single.turn_until([&] { return single.closed; }));
   }
@@ -305,10 +305,10 @@
 }
 
 TEST_CASE("a stall of the invoker between writing an attempt and sending it does not end the connection") {
-  SingleLink single;
+  SingleConnection single;
   single.connect();
-  REQUIRE(single.turn_until([&] { return single.link->open(); }));
-  single.link->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
+  REQUIRE(single.turn_until([&] { return single.connection->open(); }));
+  single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   const Millis until = single.loop.now() + Millis(100);
   while (single.loop.now() < until) {}  // nothing is sent before the next turn's end
   REQUIRE(single.turn_until([&] { return single.closed || single.host.execs == 1; }));
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "core/load_budget.h"
-#include "hosts/link.h"
+#include "hosts/connection.h"
 #include "hosts/liveness.h"
 #include "hosts/ref_history.h"
 #include "net/fields.h"
--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/dispatcher.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "resp/front.h"
 #include "support/call_book.h"
 #include "support/call_client.h"
@@ -94,7 +94,7 @@
   std::unique_ptr<FaultyCalls> calls_;
   std::function<Moment()> now_ = [this] { return Moment{clock_.now(), calls_->polls()}; };
   std::vector<std::unique_ptr<RandomHost>> hosts_;
-  hosts::Fleet fleet_;
+  hosts::ConnectionPool fleet_;
   core::Dispatcher dispatcher_;
   resp::Front front_;
   Clients clients_;
--- a/tests/invoker/support/world.h
+++ b/tests/invoker/support/world.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/dispatcher.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "net/loop.h"
 #include "support/settings.h"
 #include "support/stand_in_host.h"
@@ -67,7 +67,7 @@
   core::Counters counters;
   std::vector<std::unique_ptr<StandInHost>> host;
   std::vector<Told> states;
-  hosts::Fleet fleet;
+  hosts::ConnectionPool fleet;
   core::Dispatcher dispatcher;
 };
 
