--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -8,10 +8,7 @@
 
 // What the module leaves open is ended this long after its deadline, inside the grace that the rules give.
 constexpr Millis kOverdue{2};
-constexpr Millis kRefKept{10000};  // a late answer of a host may still come under a ref for so long
-constexpr std::size_t kRefsKept = 8192;
-constexpr int kMostLanes = 1024;
-constexpr double kMostMemoryMb = 1e6;
+constexpr Millis kMinTimeout{1};  // of an attempt
 
 Counter counter_of(Verdict verdict) {
   switch (verdict) {
@@ -30,85 +27,65 @@
       hosts_(hosts),
       counters_(counters),
       module_(settings, clock_()),
-      load_budget_(settings.load_window, settings.load_floor, settings.load_ratio) {}
+      load_budget_(settings.load_window, settings.load_floor, settings.load_ratio),
+      validator_(settings) {}
 
-Dispatcher::Open* Dispatcher::find(CallId id) {
+Dispatcher::OpenCall* Dispatcher::find_call(CallId id) {
   const auto found = calls_.find(id);
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-// What no host can use costs hosts and the ration of loads all the same, and may close a connection on which
-// others wait: it ends here, whichever front it came through. Nothing if all is well.
-std::optional<Counter> Dispatcher::fault_of(const Call& call) const {
-  const auto named = [](const std::string& name) {
-    return [&name](const auto& entry) { return entry.name == name; };
-  };
-  const auto& classes = settings_.classes;
-  const auto cls = std::find_if(classes.begin(), classes.end(), named(call.class_name));
-  if (cls == classes.end()) return Counter::calls_unknown_class;
-  const auto& tenants = settings_.tenants;
-  if (!call.tenant.empty() && !tenants.empty() &&
-      std::none_of(tenants.begin(), tenants.end(), named(call.tenant))) {
-    return Counter::calls_unknown_tenant;
-  }
-  double most_mb = 0;
-  for (const auto& [kind, megabytes] : settings_.kind_memory_mb) most_mb = std::max(most_mb, megabytes);
-  if (!(most_mb > 0)) most_mb = kMostMemoryMb;  // not told
-  if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb)) return Counter::calls_bad_figures;
-  if (call.lanes < 1 || call.lanes > kMostLanes) return Counter::calls_bad_figures;
-  // On sockets each time limit of the settings grows by this: clients are seen to wait a few ms past it.
-  constexpr Millis time_limit_slack{50};
-  const bool allow_in_range = call.allow.count() > 0 && call.allow <= cls->deadline + time_limit_slack;
-  if (!allow_in_range) return Counter::calls_bad_figures;
-  return std::nullopt;
+// Nothing unless `attempt` is the one that the call has open.
+Dispatcher::OpenCall* Dispatcher::find_call_with(const Attempt& attempt) {
+  OpenCall* call = find_call(attempt.call);
+  const bool is_open = call != nullptr && call->attempt && call->attempt->attempt == attempt;
+  return is_open ? call : nullptr;
 }
 
-// Bounds the memory of refs; the one place where it shrinks.
-void Dispatcher::forget_ref(const std::string& ref) {
-  const Millis now = clock_();
-  ended_refs_.emplace_back(now, ref);
-  while (now - ended_refs_.front().first > kRefKept || ended_refs_.size() > kRefsKept) {
-    refs_.erase(ended_refs_.front().second);
-    ended_refs_.pop_front();
+bool Dispatcher::is_valid(const Call& call) {
+  const auto fault = validator_.find_fault(call);
+  if (fault) counters_.add(*fault);
+  return !fault;
+}
+
+bool Dispatcher::must_run_once(const std::string& class_name) const {
+  bool once = true;
+  for (const auto& c : settings_.classes) {
+    if (c.name == class_name) once = c.semantics == pathstack::policy::Semantics::once;
   }
+  return once;
 }
 
 bool Dispatcher::take(CallId id, Call&& call, Front& front) {
-  if (const auto fault = fault_of(call)) {
-    counters_.add(*fault);
-    return false;
-  }
-  // Danger: hosts know a call by its ref; two under one would get each other's answers.
-  if (!refs_.insert(call.ref).second) {
+  if (!is_valid(call)) return false;
+  if (!references_.try_add(call.ref)) {
     counters_.add(Counter::calls_ref_repeated);
     return false;
   }
   counters_.add(Counter::calls_taken);
   load_budget_.note_call(clock_());
-  Open& open = calls_[id];
+  OpenCall& open = calls_[id];
   open.call = std::move(call);
   open.front = &front;
-  for (const auto& c : settings_.classes) {
-    if (c.name == open.call.class_name) open.once = c.semantics == pathstack::policy::Semantics::once;
-  }
-  due_.push({open.call.arrived + open.call.allow + kOverdue, id, -1});
-  run(module_.pick(clock_(), id, open.call));
+  open.runs_once = must_run_once(open.call.class_name);
+  deadlines_.push({open.call.arrived + open.call.allow + kOverdue, id, Deadline::kOfCall});
+  apply_steps(module_.pick(clock_(), id, open.call));
   return true;
 }
 
 void Dispatcher::leave(CallId id) {
-  Open* open = find(id);
-  if (open == nullptr) return;
+  if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_left);
-  // The module hears of it before the attempt ends: it must not try again what nobody waits for.
-  run(module_.report(clock_(), CallLeft{id}));
-  if ((open = find(id)) != nullptr && open->out) {
-    hosts_.drop(open->out->attempt);
-    give_back(id, *open, Outcome::cancelled, true);
+  // The module is notified before the attempt ends: it must not retry what nobody waits for.
+  apply_steps(module_.report(clock_(), CallLeft{id}));
+  OpenCall* open = find_call(id);
+  if (open != nullptr && open->attempt) {
+    hosts_.cancel(open->attempt->attempt);
+    report_abandoned_attempt(*open, Outcome::cancelled, true);
   }
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  forget_ref(found->second.call.ref);
+  references_.end(found->second.call.ref, clock_());
   calls_.erase(found);
 }
 
@@ -118,45 +95,56 @@
   std::sort(ids.begin(), ids.end());
   for (const CallId id : ids) {
     counters_.add(Counter::calls_ended_unserved);
-    run(module_.report(clock_(), CallLeft{id}));  // first, or it would try again what fails now
-    carry_out(RefuseStep{id, Millis(0)});
+    apply_steps(module_.report(clock_(), CallLeft{id}));  // first, or it would retry what fails now
+    apply(RefuseStep{id, Millis(0)});
   }
 }
 
-void Dispatcher::note_outcome(Open& open, Outcome outcome) {
-  if (!pathstack::policy::proves_never_ran(outcome)) open.may_have_run = true;
-  if (outcome == Outcome::not_sent) ++open.not_sent;
+// The call's attempt is open no more, and what its outcome proves is noted.
+Dispatcher::OpenAttempt Dispatcher::close_attempt(OpenCall& call, Outcome outcome) {
+  OpenAttempt closed = std::move(*call.attempt);
+  call.attempt.reset();
+  if (!pathstack::policy::proves_never_ran(outcome)) call.may_have_run = true;
+  if (outcome == Outcome::not_sent) ++call.not_sent;
+  return closed;
 }
 
-// Tells the module of the end of the attempt that is out, if one is.
-void Dispatcher::give_back(CallId id, Open& open, Outcome outcome, bool over) {
-  if (!open.out) return;
-  const Out out = std::move(*open.out);
-  open.out.reset();
-  note_outcome(open, outcome);
+// Reports the end of an attempt that this side gave up, if one is open. `call` may be gone afterwards.
+void Dispatcher::report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_over) {
+  if (!call.attempt) return;
+  const OpenAttempt closed = close_attempt(call, outcome);
   const Millis now = clock_();
-  AttemptOutcome told{{id, out.attempt.number}, out.host, outcome, over, 0, now - out.sent, std::nullopt};
-  run(module_.report(now, told));
+  AttemptOutcome end;
+  end.attempt = closed.attempt;
+  end.host = closed.host;
+  end.outcome = outcome;
+  end.call_over = call_over;
+  end.elapsed = now - closed.sent_at;
+  apply_steps(module_.report(now, end));
 }
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
-  Open* open = find(attempt.call);
-  if (open == nullptr || !open->out || !(open->out->attempt == attempt)) return;
-  const Out out = std::move(*open->out);
-  open->out.reset();
-  note_outcome(*open, end.outcome);
+  OpenCall* call = find_call_with(attempt);
+  if (call == nullptr) return;
+  const OpenAttempt closed = close_attempt(*call, end.outcome);
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
-  AttemptOutcome told{attempt,   out.host,       end.outcome,          served,
-                      end.crowd, now - out.sent, std::move(end.report)};
+  AttemptOutcome reported;
+  reported.attempt = attempt;
+  reported.host = closed.host;
+  reported.outcome = end.outcome;
+  reported.call_over = served;
+  reported.crowd = end.crowd;
+  reported.elapsed = now - closed.sent_at;
+  reported.report = std::move(end.report);
   // The answer goes first: the module's turn may be long.
   if (served) finish(attempt.call, {Verdict::served, Millis(0), std::move(end.body)});
-  run(module_.report(now, told));
+  apply_steps(module_.report(now, reported));
 }
 
-void Dispatcher::load_ended(LoadOutcome&& end) { run(module_.report(clock_(), end)); }
-void Dispatcher::probe_ended(ProbeOutcome&& end) { run(module_.report(clock_(), end)); }
-void Dispatcher::members(HostList&& list) { run(module_.report(clock_(), list)); }
+void Dispatcher::load_ended(LoadOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
+void Dispatcher::probe_ended(ProbeOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
+void Dispatcher::members(HostList&& list) { apply_steps(module_.report(clock_(), list)); }
 
 bool Dispatcher::take_load_budget() {
   if (load_budget_.take(clock_())) return true;
@@ -166,101 +154,121 @@
 
 void Dispatcher::tick() {
   const Millis now = clock_();
-  run(module_.tick(now));
-  while (!due_.empty() && due_.top().at <= now) {
-    const Due due = due_.top();
-    due_.pop();
-    Open* open = find(due.call);
-    if (open == nullptr) continue;
-    if (due.attempt >= 0) {
-      if (!open->out || open->out->attempt.number != due.attempt) continue;
-      counters_.add(Counter::attempts_timed_out);
-      const bool ran = hosts_.drop(open->out->attempt);
-      give_back(due.call, *open, ran ? Outcome::timeout : Outcome::connect_failed, false);
+  apply_steps(module_.tick(now));
+  while (!deadlines_.empty() && deadlines_.top().at <= now) {
+    const Deadline deadline = deadlines_.top();
+    deadlines_.pop();
+    if (deadline.attempt == Deadline::kOfCall) {
+      call_overdue(deadline.call);
     } else {
-      // Danger: a call that the module forgot would never be answered.
-      counters_.add(Counter::calls_overdue);
-      run(module_.report(now, CallLeft{due.call}));
-      if (find(due.call) != nullptr) finish(due.call, Answer{});
+      attempt_timed_out({deadline.call, deadline.attempt});
     }
   }
 }
 
+// The attempt may have ended long ago.
+void Dispatcher::attempt_timed_out(const Attempt& attempt) {
+  OpenCall* call = find_call_with(attempt);
+  if (call == nullptr) return;
+  counters_.add(Counter::attempts_timed_out);
+  const bool may_have_run = hosts_.cancel(attempt);
+  report_abandoned_attempt(*call, may_have_run ? Outcome::timeout : Outcome::connect_failed, false);
+}
+
+// The module must answer every call in time; one that it forgot would never be answered but for this.
+void Dispatcher::call_overdue(CallId id) {
+  if (find_call(id) == nullptr) return;
+  counters_.add(Counter::calls_overdue);
+  apply_steps(module_.report(clock_(), CallLeft{id}));
+  if (find_call(id) != nullptr) finish(id, Answer{});
+}
+
 Millis Dispatcher::next_due() const {
-  const Millis module = module_.next_tick();
-  return due_.empty() ? module : std::min(module, due_.top().at);
+  const Millis module_due = module_.next_tick();
+  return deadlines_.empty() ? module_due : std::min(module_due, deadlines_.top().at);
 }
 
-void Dispatcher::run(Steps&& steps) {
+void Dispatcher::apply_steps(Steps&& steps) {
   for (auto& step : steps) steps_.push_back(std::move(step));
-  if (running_) return;  // the outer run carries these out in their order
-  running_ = true;
+  if (applying_steps_) return;  // the outer call applies these in their order
+  applying_steps_ = true;
   while (!steps_.empty()) {
     const Step step = std::move(steps_.front());
     steps_.pop_front();
-    std::visit([this](const auto& s) { carry_out(s); }, step);
+    std::visit([this](const auto& s) { apply(s); }, step);
   }
-  running_ = false;
+  applying_steps_ = false;
 }
 
-void Dispatcher::carry_out(const SendStep& step) {
-  Open* open = find(step.call);
-  if (open == nullptr) return;
-  // Guards the rules whatever the module says: one attempt out, a few in all, nothing twice that may have
-  // run.
-  const Attempt attempt{step.call, open->attempts++};
-  const Millis now = clock_(), left = open->call.arrived + open->call.allow - now;
-  const Millis patience = step.patience.count() > 0 ? std::min(step.patience, left) : left;
-  const bool again = open->once && open->may_have_run;
-  // Attempts that a local fault kept here do not count; the backoff of `Hosts` bounds how many there are.
-  const bool spent = attempt.number - open->not_sent >= settings_.max_attempts;
-  if (open->out || again || spent || patience.count() < 1) {
-    counters_.add(Counter::guard_send_stopped);
-    const bool other_out = open->out.has_value();
-    if (!other_out) finish(step.call, Answer{});
-    run(module_.report(now, AttemptOutcome{attempt, step.host, Outcome::moot, !other_out, 0, {}, {}}));
-    return;
-  }
+void Dispatcher::apply(const SendStep& step) {
+  OpenCall* call = find_call(step.call);
+  if (call == nullptr) return;
+  const Attempt attempt{step.call, call->next_attempt++};
+  const Millis now = clock_();
+  const Millis time_left = call->call.arrived + call->call.allow - now;
+  const Millis timeout = step.timeout.count() > 0 ? std::min(step.timeout, time_left) : time_left;
+  if (!may_send(*call, attempt, timeout)) return refuse_send(step, attempt, call->attempt.has_value());
   counters_.add(Counter::attempts_sent);
-  open->out = Out{attempt, step.host, now};
-  due_.push({now + patience, step.call, attempt.number});
-  hosts_.exec(attempt, step.host, open->call, patience);
+  call->attempt = OpenAttempt{attempt, step.host, now};
+  deadlines_.push({now + timeout, step.call, attempt.number});
+  hosts_.exec(attempt, step.host, call->call, timeout);
+}
+
+// The rules of attempts, which hold whatever the module says: one open at a time, a few in all, none where
+// one may have run and must not run twice.
+bool Dispatcher::may_send(const OpenCall& call, const Attempt& attempt, Millis timeout) const {
+  // Attempts that a local fault kept here do not count; the backoff of `Hosts` bounds how many there are.
+  const bool attempts_spent = attempt.number - call.not_sent >= settings_.max_attempts;
+  const bool would_run_twice = call.runs_once && call.may_have_run;
+  return !call.attempt && !would_run_twice && !attempts_spent && timeout >= kMinTimeout;
+}
+
+void Dispatcher::refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
+  const Millis now = clock_();
+  counters_.add(Counter::guard_send_stopped);
+  if (!other_attempt_open) finish(step.call, Answer{});
+  AttemptOutcome end;
+  end.attempt = attempt;
+  end.host = step.host;
+  end.outcome = Outcome::moot;
+  end.call_over = !other_attempt_open;
+  apply_steps(module_.report(now, end));
 }
 
-void Dispatcher::carry_out(const RefuseStep& step) {
-  Open* open = find(step.call);
-  if (open == nullptr) return;
-  if (open->out && hosts_.drop(open->out->attempt)) open->may_have_run = true;
-  // A refusal says that trying again is harmless; what may have run is failed, with the same advice.
-  const bool harmless = !open->may_have_run;
-  finish(step.call, {harmless ? Verdict::refused : Verdict::failed, step.cooldown, {}});
+void Dispatcher::apply(const RefuseStep& step) {
+  OpenCall* call = find_call(step.call);
+  if (call == nullptr) return;
+  if (call->attempt && hosts_.cancel(call->attempt->attempt)) call->may_have_run = true;
+  // A refusal says that a retry is harmless; what may have run is failed, with the same advice.
+  const bool harmless = !call->may_have_run;
+  finish(step.call, {harmless ? Verdict::refused : Verdict::failed, step.retry_after, {}});
 }
 
-void Dispatcher::carry_out(const FailStep& step) { finish(step.call, Answer{}); }
+void Dispatcher::apply(const FailStep& step) { finish(step.call, Answer{}); }
 
-void Dispatcher::carry_out(const CancelStep& step) {
-  Open* open = find(step.attempt.call);
-  if (open == nullptr || !open->out || !(open->out->attempt == step.attempt)) return;
+void Dispatcher::apply(const CancelStep& step) {
+  OpenCall* call = find_call_with(step.attempt);
+  if (call == nullptr) return;
   counters_.add(Counter::attempts_cancelled);
-  const bool ran = hosts_.drop(step.attempt);
-  give_back(step.attempt.call, *open, ran ? Outcome::cancelled : Outcome::moot, false);
+  const bool may_have_run = hosts_.cancel(step.attempt);
+  report_abandoned_attempt(*call, may_have_run ? Outcome::cancelled : Outcome::moot, false);
 }
 
-void Dispatcher::carry_out(const LoadStep& step) {
+void Dispatcher::apply(const LoadStep& step) {
   counters_.add(Counter::orders_sent);
-  hosts_.ensure(step.host, step.function, step.copies);
+  hosts_.ensure(step.host, step.function, step.instances);
 }
 
 void Dispatcher::finish(CallId id, Answer&& answer) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  Open open = std::move(found->second);
+  OpenCall call = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
-  forget_ref(open.call.ref);
+  references_.end(call.call.ref, clock_());
   counters_.add(counter_of(answer.verdict));
-  if (open.out) hosts_.drop(open.out->attempt);
-  open.front->answer(id, std::move(answer));
-  give_back(id, open, Outcome::cancelled, true);
+  if (call.attempt) hosts_.cancel(call.attempt->attempt);
+  call.front->answer(id, std::move(answer));
+  report_abandoned_attempt(call, Outcome::cancelled, true);
 }
 
 }  // namespace pathstack::core
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -1,13 +1,17 @@
-// A call's life: taken, tried at hosts one attempt at a time, ended by exactly one final answer.
+/// A call's life: taken, tried at hosts one attempt at a time, ended by exactly one final answer.
 #pragma once
 
 #include <deque>
 #include <functional>
+#include <map>
 #include <optional>
 #include <queue>
+#include <string>
 #include <unordered_map>
-#include <unordered_set>
+#include <vector>
 
+#include "core/call_references.h"
+#include "core/call_validator.h"
 #include "core/counters.h"
 #include "core/load_budget.h"
 #include "core/module.h"
@@ -15,49 +19,71 @@
 
 namespace pathstack::core {
 
+/// Owns the open calls. Fronts hand calls in and get their answers; the decision module says what to do with
+/// each, as steps; the hosts carry attempts, load orders and probes.
+///
+/// Whatever the module says, a call has at most one attempt out, no more attempts than the settings allow, no
+/// second run where it must run once, and one answer by its deadline. Used on the loop's thread only. May be
+/// called from inside the callbacks of `Front` and `Hosts`: steps that arise there follow those under way.
 class Dispatcher {
  public:
+  /// Returns the monotonic time.
   using Clock = std::function<Millis()>;
+  /// The references must outlive this object.
   Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters);
 
-  // The id is made beforehand, so that a front can file the call before an answer comes.
+  /// An id for a new call, made beforehand, so that a front can file the call before an answer comes.
   CallId next_id() { return ++last_id_; }
-  // False if it is not taken: no host could use it, or its ref is not its own. It is owed a failure.
+  /// Takes a call under an id of `next_id`; its answer may be given before this returns. False, with the
+  /// reason counted, if no host could use it or its reference is in use: `front` then owes it a failure.
+  /// Cost: that of a decision of the module.
   bool take(CallId id, Call&& call, Front& front);
-  void leave(CallId id);  // the client is gone: no answer is owed
-  void end_all();         // the program ends: what is open gets its final answer now
+  /// The client is gone: no answer is owed. Nothing happens if the call is not open.
+  void leave(CallId id);
+  /// The program ends: every open call gets its final answer now. Cost: a decision for each open call.
+  void end_all();
 
+  /// Reported by the hosts: an attempt that was not cancelled has ended. Cost: a decision, as of all below.
   void attempt_ended(const Attempt& attempt, AttemptEnd&& end);
+  /// A load order has ended.
   void load_ended(LoadOutcome&& end);
+  /// A probe has ended.
   void probe_ended(ProbeOutcome&& end);
+  /// The membership log has a complete list, or changes. The hosts must know of them before.
   void members(HostList&& list);
   /// Asked when a load order is about to be written; false, and counted, if the load budget is spent.
   bool take_load_budget();
 
+  /// Does all that is due by now. Cost: a decision for each timer and deadline that has passed.
   void tick();
+  /// When `tick` has to be called next; infinite if nothing is due.
   Millis next_due() const;
+  /// The number of open calls.
   std::size_t open() const { return calls_.size(); }
+  /// The module's figures for operators.
   std::map<std::string, double> tally() const { return module_.tally(); }
 
  private:
-  struct Out {
+  struct OpenAttempt {
     Attempt attempt;
     std::string host;
-    Millis sent{0};
+    Millis sent_at{0};
   };
-  struct Open {
+  struct OpenCall {
     Call call;
     Front* front = nullptr;
-    bool once = true, may_have_run = false;
-    int attempts = 0;  // the number of the next one, as the module counts them
-    int not_sent = 0;  // of these, kept from leaving by a fault of this machine
-    std::optional<Out> out;
+    bool runs_once = true;  // must not run twice
+    bool may_have_run = false;
+    int next_attempt = 0;  // its number, as the module counts them
+    int not_sent = 0;      // attempts that a fault of this machine kept from leaving
+    std::optional<OpenAttempt> attempt;
   };
-  struct Due {
+  struct Deadline {
+    static constexpr int kOfCall = -1;
     Millis at{0};
     CallId call = 0;
-    int attempt = -1;  // -1: the call's own deadline
-    bool operator>(const Due& o) const {
+    int attempt = kOfCall;  // its number, or `kOfCall` for the call's own deadline
+    bool operator>(const Deadline& o) const {
       return std::tie(at, call, attempt) > std::tie(o.at, o.call, o.attempt);
     }
   };
@@ -68,28 +94,34 @@
   Counters& counters_;
   Module module_;
   LoadBudget load_budget_;
+  CallValidator validator_;
+  CallReferences references_;
   CallId last_id_ = 0;
-  std::unordered_map<CallId, Open> calls_;
-  std::unordered_set<std::string> refs_;  // of open calls, and of those that ended a short while ago
-  std::deque<std::pair<Millis, std::string>> ended_refs_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::deque<Step> steps_;
-  bool running_ = false;
+  std::unordered_map<CallId, OpenCall> calls_;
+  std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
+  std::deque<Step> steps_;  // yet to be applied, in their order
+  bool applying_steps_ = false;
 
-  void run(Steps&& steps);
-  void carry_out(const SendStep& step);
-  void carry_out(const RefuseStep& step);
-  void carry_out(const FailStep& step);
-  void carry_out(const CancelStep& step);
-  void carry_out(const ProbeStep& step) { hosts_.probe(step.host); }
-  void carry_out(const LoadStep& step);
-  void carry_out(const UnloadStep& step) { hosts_.release(step.host, step.function); }
-  static void note_outcome(Open& open, Outcome outcome);
-  void give_back(CallId id, Open& open, Outcome outcome, bool over);
+  void apply_steps(Steps&& steps);
+  void apply(const SendStep& step);
+  void apply(const RefuseStep& step);
+  void apply(const FailStep& step);
+  void apply(const CancelStep& step);
+  void apply(const ProbeStep& step) { hosts_.probe(step.host); }
+  void apply(const LoadStep& step);
+  void apply(const UnloadStep& step) { hosts_.release(step.host, step.function); }
+
+  OpenCall* find_call(CallId id);
+  OpenCall* find_call_with(const Attempt& attempt);
+  bool is_valid(const Call& call);
+  bool must_run_once(const std::string& class_name) const;
+  bool may_send(const OpenCall& call, const Attempt& attempt, Millis timeout) const;
+  void refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open);
+  void attempt_timed_out(const Attempt& attempt);
+  void call_overdue(CallId id);
+  static OpenAttempt close_attempt(OpenCall& call, Outcome outcome);
+  void report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_over);
   void finish(CallId id, Answer&& answer);
-  std::optional<Counter> fault_of(const Call& call) const;
-  void forget_ref(const std::string& ref);
-  Open* find(CallId id);
 };
 
 }  // namespace pathstack::core
--- a/src/core/load_budget.h
+++ b/src/core/load_budget.h
@@ -1,4 +1,4 @@
-// How many load orders an invoker may still write.
+/// How many load orders an invoker may still write.
 #pragma once
 
 #include <deque>
@@ -18,6 +18,7 @@
   /// A window of zero means no limit.
   LoadBudget(Millis window, double floor, double ratio) : window_(window), floor_(floor), ratio_(ratio) {}
 
+  /// A call was taken at `now`, which must not decrease.
   void note_call(Millis now) {
     if (window_.count() <= 0) return;
     expire(now);
--- a/src/core/module.cpp
+++ b/src/core/module.cpp
@@ -1,6 +1,8 @@
 #include "core/module.h"
 
 #include <limits>
+#include <optional>
+#include <utility>
 
 namespace pathstack::core {
 namespace {
@@ -15,13 +17,13 @@
   e.attempt = o.attempt.number;
   e.outcome = o.outcome;
   e.crowd = o.crowd;
-  e.over = o.over;
+  e.over = o.call_over;
   e.elapsed = o.elapsed;
   e.report = o.report;
   return e;
 }
 pathstack::policy::Event event_of(const LoadOutcome& o) {
-  return event::Loaded{o.host, o.function, o.outcome, o.elapsed, o.copies};
+  return event::Loaded{o.host, o.function, o.outcome, o.elapsed, o.instances};
 }
 pathstack::policy::Event event_of(const ProbeOutcome& o) {
   return event::Probed{o.host, o.outcome, o.elapsed, o.report};
@@ -29,7 +31,23 @@
 pathstack::policy::Event event_of(const CallLeft& o) { return event::Left{std::to_string(o.call)}; }
 pathstack::policy::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
 
-CallId call_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
+CallId call_id_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
+
+// The step that an action of the module stands for; nothing if it asks for none.
+std::optional<Step> step_of(const action::Send& a) {
+  return SendStep{call_id_of(a.id), a.worker, a.time_out};
+}
+std::optional<Step> step_of(const action::Refuse& a) { return RefuseStep{call_id_of(a.id), a.retry_after}; }
+std::optional<Step> step_of(const action::Fail& a) { return FailStep{call_id_of(a.id)}; }
+std::optional<Step> step_of(const action::Cancel& a) { return CancelStep{{call_id_of(a.id), a.attempt}}; }
+std::optional<Step> step_of(const action::Probe& a) { return ProbeStep{a.worker}; }
+std::optional<Step> step_of(const action::Load& a) { return LoadStep{a.worker, a.function, a.copies}; }
+std::optional<Step> step_of(const action::Unload& a) { return UnloadStep{a.worker, a.function}; }
+std::optional<Step> step_of(const action::SetTimer&) { return std::nullopt; }  // see Module::handle
+// Of no use to an invoker on sockets: it has no peers to speak to, always watches, and logs counters.
+std::optional<Step> step_of(const action::Tell&) { return std::nullopt; }
+std::optional<Step> step_of(const action::Watch&) { return std::nullopt; }
+std::optional<Step> step_of(const action::Log&) { return std::nullopt; }
 
 }  // namespace
 
@@ -55,18 +73,18 @@
 
 Steps Module::tick(Millis now) {
   Steps all;
-  // A timer set while others ring is not rung again in this turn, or one of length zero would never end.
+  // A timer that is set meanwhile waits for the next turn, or one of length zero would never end.
   const std::uint64_t known = timers_set_;
-  while (!due_.empty() && due_.top().at <= now && due_.top().order < known) {
-    const std::uint64_t token = due_.top().token;
-    due_.pop();
+  while (!timers_.empty() && timers_.top().at <= now && timers_.top().order < known) {
+    const std::uint64_t token = timers_.top().token;
+    timers_.pop();
     for (auto& step : handle(now, event::Timer{token})) all.push_back(std::move(step));
   }
   return all;
 }
 
 Millis Module::next_tick() const {
-  return due_.empty() ? Millis(std::numeric_limits<double>::infinity()) : due_.top().at;
+  return timers_.empty() ? Millis(std::numeric_limits<double>::infinity()) : timers_.top().at;
 }
 
 Steps Module::handle(Millis now, const pathstack::policy::Event& event) {
@@ -74,23 +92,11 @@
   policy_.handle(now, event, actions);
   Steps steps;
   for (const auto& any : actions) {
-    if (const auto* send = std::get_if<action::Send>(&any)) {
-      steps.push_back(SendStep{call_of(send->id), send->worker, send->time_out});
-    } else if (const auto* refuse = std::get_if<action::Refuse>(&any)) {
-      steps.push_back(RefuseStep{call_of(refuse->id), refuse->retry_after});
-    } else if (const auto* fail = std::get_if<action::Fail>(&any)) {
-      steps.push_back(FailStep{call_of(fail->id)});
-    } else if (const auto* cancel = std::get_if<action::Cancel>(&any)) {
-      steps.push_back(CancelStep{{call_of(cancel->id), cancel->attempt}});
-    } else if (const auto* probe = std::get_if<action::Probe>(&any)) {
-      steps.push_back(ProbeStep{probe->worker});
-    } else if (const auto* load = std::get_if<action::Load>(&any)) {
-      steps.push_back(LoadStep{load->worker, load->function, load->copies});
-    } else if (const auto* unload = std::get_if<action::Unload>(&any)) {
-      steps.push_back(UnloadStep{unload->worker, unload->function});
-    } else if (const auto* timer = std::get_if<action::SetTimer>(&any)) {
-      due_.push({now + timer->after, timers_set_++, timer->token});
+    if (const auto* timer = std::get_if<action::SetTimer>(&any)) {
+      timers_.push({now + timer->after, timers_set_++, timer->token});
     }
+    auto step = std::visit([](const auto& a) { return step_of(a); }, any);
+    if (step) steps.push_back(std::move(*step));
   }
   return steps;
 }
--- a/src/core/module.h
+++ b/src/core/module.h
@@ -1,5 +1,5 @@
-// The decision module behind a facade in blocking style: each call says what happened and returns what to do
-// now, requests held till now included. The module's events and actions stay on this side.
+/// The decision module behind a facade in blocking style: each call says what happened and returns what to do
+/// now, requests queued until now included. The module's events and actions stay on this side.
 #pragma once
 
 #include <map>
@@ -12,86 +12,107 @@
 
 namespace pathstack::core {
 
+/// Send an attempt of a call to a host.
 struct SendStep {
   CallId call = 0;
   std::string host;
-  Millis patience{0};
+  Millis timeout{0};  // 0: the time that the client has left
 };
+/// Answer a call as refused: a retry is harmless.
 struct RefuseStep {
   CallId call = 0;
-  Millis cooldown{0};
+  Millis retry_after{0};  // 0: not said
 };
+/// Answer a call as failed.
 struct FailStep {
   CallId call = 0;
 };
+/// Give an attempt up; the call stays open.
 struct CancelStep {
   Attempt attempt;
 };
+/// Ask a host for a load report.
 struct ProbeStep {
   std::string host;
 };
+/// Order that a host has instances of a function loaded.
 struct LoadStep {
   std::string host;
   std::uint64_t function = 0;
-  int copies = 0;
+  int instances = 0;  // 0: only ask how many there are
 };
+/// Let a host unload a function.
 struct UnloadStep {
   std::string host;
   std::uint64_t function = 0;
 };
+/// What the module decides.
 using Step = std::variant<SendStep, RefuseStep, FailStep, CancelStep, ProbeStep, LoadStep, UnloadStep>;
 using Steps = std::vector<Step>;
 
-// What can be reported.
+/// An attempt has ended.
 struct AttemptOutcome {
   Attempt attempt;
   std::string host;
   Outcome outcome = Outcome::error;
-  bool over = false;  // the call has its final answer
-  int crowd = 0;
-  Millis elapsed{0};
+  bool call_over = false;  // the call has its final answer
+  int crowd = 0;           // calls of the same function that the host held
+  Millis elapsed{0};       // since the attempt was sent
   Report report;
 };
+/// A load order has ended.
 struct LoadOutcome {
   std::string host;
   std::uint64_t function = 0;
   Outcome outcome = Outcome::ok;
-  Millis elapsed{0};
-  int copies = 0;
+  Millis elapsed{0};  // since the order was given
+  int instances = 0;  // loaded now
 };
+/// A probe has ended.
 struct ProbeOutcome {
   std::string host;
   Outcome outcome = Outcome::ok;
   Millis elapsed{0};
   Report report;
 };
+/// Nobody waits for a call any more.
 struct CallLeft {
   CallId call = 0;
 };
+/// A complete list of hosts, or changes of one.
 struct HostList {
   ListKind kind = ListKind::full;
   std::vector<WorkerEntry> entries;
 };
+/// What can be reported to the module.
 using Reported = std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, CallLeft, HostList>;
 
+/// The decision module and its timers. Owned by the dispatcher; knows no clock: every call states the time,
+/// which must not decrease. Cost of every call that returns steps: a decision of `policy::Policy`.
 class Module {
  public:
   Module(const Settings& settings, Millis now);
 
+  /// A new call.
   Steps pick(Millis now, CallId id, const Call& call);
+  /// Something has happened.
   Steps report(Millis now, const Reported& what);
-  Steps tick(Millis now);  // everything that is due
+  /// All timers that are due by `now` have passed.
+  Steps tick(Millis now);
+  /// When the next timer is due; infinite if none is set.
   Millis next_tick() const;
+  /// The module's figures for operators.
   std::map<std::string, double> tally() const { return policy_.tally(); }
 
  private:
-  struct Due {
+  struct Timer {
     Millis at{0};
-    std::uint64_t order = 0, token = 0;
-    bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    std::uint64_t order = 0;  // in which timers were set
+    std::uint64_t token = 0;
+    bool operator>(const Timer& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
   pathstack::policy::Policy policy_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::uint64_t timers_set_ = 0;
 
   Steps handle(Millis now, const pathstack::policy::Event& event);
--- a/src/hosts/connection.cpp
+++ b/src/hosts/connection.cpp
@@ -8,7 +8,7 @@
 
 using core::Outcome;
 
-constexpr Millis kSuspectSilence{400};    // an attempt dropped after such a silence: the host may be cut off
+constexpr Millis kSuspectSilence{400};  // an attempt cancelled after such a silence: the host may be cut off
 constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
 constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
 constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
@@ -54,7 +54,7 @@
 }
 
 bool Connection::accepts(const std::string& ref) const {
-  const bool usable = !ending() && !retired_ && !silent_at_drop_;
+  const bool usable = !ending() && !retired_ && !silent_at_cancel_;
   return usable && attempts_.size() < limits_.attempts_a_link && !attempts_.contains(ref) &&
          history_.reusable(ref, loop().now());
 }
@@ -66,23 +66,23 @@
   monitor_.watch();
 }
 
-bool Connection::drop(const core::Attempt& attempt) {
+bool Connection::cancel(const core::Attempt& attempt) {
   const auto ref = attempts_.ref_of(attempt);
   if (!ref) return false;
-  const auto dropped = attempts_.remove(*ref);
-  if (!dropped->message.written) return false;
+  const auto cancelled = attempts_.remove(*ref);
+  if (!cancelled->message.written) return false;
   const Millis now = loop().now();
   // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
-  const Millis silent_since = std::max(monitor_.liveness().last_received(), dropped->added_at);
-  if (now - silent_since > kSuspectSilence) silent_at_drop_ = true;
+  const Millis silent_since = std::max(monitor_.liveness().last_received(), cancelled->added_at);
+  if (now - silent_since > kSuspectSilence) silent_at_cancel_ = true;
   // At once: the next attempt may leave on another connection in this very turn.
-  write(encode_drop(*ref));
-  history_.dropped(*ref, now, outbox().appended());
+  write(encode_cancel(*ref));
+  history_.cancelled(*ref, now, outbox().appended());
   const bool flushed = flush_now();
   if (!flushed) end_later();  // the host reads nothing; closing gives the attempt up
   update_idle_timer();
   // What was not handed over completely by now never will be.
-  return dropped->message.has_left(outbox());
+  return cancelled->message.has_left(outbox());
 }
 
 void Connection::order_load(const std::string& tag, std::uint64_t function, int instances) {
@@ -139,7 +139,7 @@
 }
 
 void Connection::received(std::string_view bytes) {
-  silent_at_drop_ = false;
+  silent_at_cancel_ = false;
   std::vector<Reply> replies;
   bool sound = parser_.take(bytes, replies);
   monitor_.liveness().received(loop().now(), parser_.begun(), !replies.empty());
@@ -189,7 +189,7 @@
 
 void Connection::take_unexpected_answer(const std::string& id) {
   if (history_.take_late_answer(id, loop().now()) == RefHistory::Late::first) {
-    counters_.add(core::Counter::hosts_late_answers);  // to an attempt dropped meanwhile
+    counters_.add(core::Counter::hosts_late_answers);  // to an attempt cancelled meanwhile
     return;
   }
   // More than belongs to it: what is open here keeps its own answers, nothing new is sent.
@@ -219,7 +219,7 @@
   if (connecting()) return;
   loop().cancel(idle_timer_);
   if (load() > 0) return;
-  const bool usable = !retired_ && !silent_at_drop_;
+  const bool usable = !retired_ && !silent_at_cancel_;
   const Millis idle = usable ? limits_.idle * kIdleShare : Millis(0);
   idle_timer_ = loop().at(loop().now() + idle, [this] { end_later(); });
 }
--- a/src/hosts/connection.h
+++ b/src/hosts/connection.h
@@ -30,7 +30,7 @@
   ConnectionObserver(const ConnectionObserver&) = delete;
   ConnectionObserver& operator=(const ConnectionObserver&) = delete;
 
-  /// An attempt has its answer, or can't get one any more. Not called for attempts that were dropped.
+  /// An attempt has its answer, or can't get one any more. Not called for attempts that were cancelled.
   virtual void on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) = 0;
   /// A load order was answered, timed out or lost its connection.
   virtual void on_load_ended(core::LoadOutcome&& end) = 0;
@@ -77,7 +77,7 @@
   void exec(const core::Attempt& attempt, const core::Call& call, Millis timeout);
   /// Gives the attempt up; true if it may have run. Its end is not reported. Cost: linear in the open
   /// attempts.
-  bool drop(const core::Attempt& attempt);
+  bool cancel(const core::Attempt& attempt);
   /// Orders `instances` instances of `function`. `tag` must be unique on this connection, as for `probe`.
   void order_load(const std::string& tag, std::uint64_t function, int instances);
   /// Asks for a load report.
@@ -105,7 +105,7 @@
   LivenessMonitor monitor_;
   bool retired_ = false;             // nothing new goes here
   bool replaced_ = false;            // its host runs another process now
-  bool silent_at_drop_ = false;      // it had been silent for long when an attempt was dropped
+  bool silent_at_cancel_ = false;    // it had been silent for long when an attempt was cancelled
   net::Loop::TimerId idle_timer_{};  // while connecting, the connect time-out
   net::Loop::TimerId drain_timer_{};
 
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -163,12 +163,12 @@
   connection->exec(attempt, call, timeout);
 }
 
-bool ConnectionPool::drop(const core::Attempt& attempt) {
+bool ConnectionPool::cancel(const core::Attempt& attempt) {
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end()) return false;
   Connection* connection = found->second;
   attempts_.erase(found);
-  return connection->drop(attempt);
+  return connection->cancel(attempt);
 }
 
 void ConnectionPool::probe(const std::string& id) {
--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -48,7 +48,7 @@
   void exec(const core::Attempt& attempt, const std::string& id, const core::Call& call,
             Millis timeout) override;
   /// Gives an attempt up; true if it may have run. Cost: linear in the attempts of its connection.
-  bool drop(const core::Attempt& attempt) override;
+  bool cancel(const core::Attempt& attempt) override;
   /// Asks host `id` for a load report. Cost as of `exec`.
   void probe(const std::string& id) override;
   /// Orders `instances` instances of `function` at host `id`. Cost as of `exec`.
--- a/src/hosts/open_attempts.cpp
+++ b/src/hosts/open_attempts.cpp
@@ -35,7 +35,7 @@
   }
 }
 
-// Nothing is written past the client's time; the dispatcher drops the attempt in its next turn.
+// Nothing is written past the client's time; the dispatcher cancels the attempt in its next turn.
 void OpenAttempts::write(const ExecRequest& request, Millis now, Millis timeout, OpenAttempt& open) {
   if (timeout < kMinTimeout) return;
   stream_.write(encode_exec(request, timeout));
--- a/src/hosts/ref_history.cpp
+++ b/src/hosts/ref_history.cpp
@@ -12,8 +12,8 @@
 
 void RefHistory::answered(const std::string& ref, Millis now) { add(ref, {now, 0}); }
 
-void RefHistory::dropped(const std::string& ref, Millis now, std::uint64_t drop_end) {
-  add(ref, {now, drop_end});
+void RefHistory::cancelled(const std::string& ref, Millis now, std::uint64_t cancel_end) {
+  add(ref, {now, cancel_end});
 }
 
 void RefHistory::confirm_read(std::uint64_t request_end) { confirmed_ = std::max(confirmed_, request_end); }
@@ -21,7 +21,7 @@
 RefHistory::Late RefHistory::take_late_answer(const std::string& ref, Millis now) {
   const auto found = entries_.find(ref);
   if (found == entries_.end()) return Late::unknown;
-  if (found->second.drop_end == 0) return Late::duplicate;
+  if (found->second.cancel_end == 0) return Late::duplicate;
   answered(ref, now);
   return Late::first;
 }
@@ -29,7 +29,7 @@
 bool RefHistory::reusable(const std::string& ref, Millis now) const {
   const auto found = entries_.find(ref);
   if (found == entries_.end()) return true;
-  return now - found->second.ended > duplicate_window_ && found->second.drop_end <= confirmed_;
+  return now - found->second.ended > duplicate_window_ && found->second.cancel_end <= confirmed_;
 }
 
 void RefHistory::add(const std::string& ref, const Entry& entry) {
--- a/src/hosts/ref_history.h
+++ b/src/hosts/ref_history.h
@@ -17,8 +17,8 @@
 ///
 /// A host knows a request by its ref alone, so a late or second answer to an ended attempt would end a
 /// further attempt under the same ref. A ref may be used again on its connection once no such answer can come
-/// any more: an answered one after the duplicate window; a dropped one after that window too, and only when
-/// the host has answered something that was written behind the drop, which shows that it has read the drop
+/// any more: an answered one after the duplicate window; a cancelled one after that window too, and only when
+/// the host has answered something that was written behind the cancellation, which shows that it has read it
 /// (both directions of a connection keep their order). Refs are forgotten after 10 s, or when 2,048 newer
 /// ones are kept.
 ///
@@ -33,11 +33,11 @@
 
   /// The attempt under `ref` has got its answer.
   void answered(const std::string& ref, Millis now);
-  /// The attempt under `ref` was dropped; `drop_end` is the offset behind the drop's last byte.
-  void dropped(const std::string& ref, Millis now, std::uint64_t drop_end);
+  /// The attempt under `ref` was cancelled; `cancel_end` is the offset behind the cancellation's last byte.
+  void cancelled(const std::string& ref, Millis now, std::uint64_t cancel_end);
   /// A request was answered whose last byte stood before the offset `request_end`.
   void confirm_read(std::uint64_t request_end);
-  /// Classifies an answer to none of the open attempts: the first one to a dropped attempt, a further one
+  /// Classifies an answer to none of the open attempts: the first one to a cancelled attempt, a further one
   /// to an attempt that has its answer, or one that belongs to nothing sent here.
   Late take_late_answer(const std::string& ref, Millis now);
   /// True if an attempt may go out under `ref`.
@@ -48,7 +48,7 @@
  private:
   struct Entry {
     Millis ended{0};
-    std::uint64_t drop_end = 0;  // 0: answered
+    std::uint64_t cancel_end = 0;  // 0: answered
   };
   Millis duplicate_window_;
   std::uint64_t confirmed_ = 0;  // the host has read all bytes before this offset
--- a/src/hosts/wire.cpp
+++ b/src/hosts/wire.cpp
@@ -57,7 +57,7 @@
   return message;
 }
 
-std::string encode_drop(const std::string& ref) { return "drop " + ref + kLineEnd; }
+std::string encode_cancel(const std::string& ref) { return "drop " + ref + kLineEnd; }
 
 std::string encode_load_order(const std::string& tag, std::uint64_t function, int instances) {
   return "ensure " + tag + " asset=" + net::hex16(function) + ",count=" + std::to_string(instances) +
--- a/src/hosts/wire.h
+++ b/src/hosts/wire.h
@@ -29,7 +29,7 @@
 /// Runs a call. `timeout` is rounded down to whole milliseconds and must be at least 1 ms.
 std::string encode_exec(const ExecRequest& request, Millis timeout);
 /// Gives up the attempt under `ref`. Has no answer.
-std::string encode_drop(const std::string& ref);
+std::string encode_cancel(const std::string& ref);
 /// Orders that a host has `instances` instances of `function` loaded.
 std::string encode_load_order(const std::string& tag, std::uint64_t function, int instances);
 /// Lets a host unload `function`. Has no answer.
--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -27,7 +27,7 @@
     CHECK(a.number < 4);
     attempts[a] = {call.body, host};
   }
-  bool drop(const core::Attempt& a) override {
+  bool cancel(const core::Attempt& a) override {
     const auto found = attempts.find(a);
     return found != attempts.end() && std::exchange(found->second.out, false);
   }
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -273,7 +273,7 @@
   REQUIRE(single.turn_until([&] { return !single.attempts.empty(); }));
   CHECK(single.attempts.at({2, 0}) == Outcome::ok);
   CHECK(single.host.execs == 1);
-  CHECK_FALSE(single.connection->drop({1, 0}));
+  CHECK_FALSE(single.connection->cancel({1, 0}));
 }
 
 // Failure found in review: bytes that a host did not read left later, with the time that was left before.
@@ -296,7 +296,7 @@
   }
   SECTION("its client goes") {
     single.loop.turn(single.loop.now(), [] {});
-    CHECK_FALSE(single.connection->drop({1, 0}));
+    CHECK_FALSE(single.connection->cancel({1, 0}));
     calls.send_error = 0;
     REQUIRE(single.turn_until([&] { return single.closed; }));
   }
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -42,7 +42,7 @@
     CHECK(history.take_late_answer("a", Millis(60)) == Late::duplicate);
   }
   SECTION("a dropped one once the host has answered what was written behind the drop") {
-    history.dropped("a", Millis(10), 500);
+    history.cancelled("a", Millis(10), 500);
     history.confirm_read(499);
     CHECK_FALSE(history.reusable("a", Millis(5000)));
     history.confirm_read(500);
@@ -50,7 +50,7 @@
     CHECK(history.reusable("a", Millis(111)));
   }
   SECTION("a late answer to a dropped one begins the duplicate window") {
-    history.dropped("a", Millis(10), 500);
+    history.cancelled("a", Millis(10), 500);
     CHECK(history.take_late_answer("a", Millis(300)) == Late::first);
     CHECK(history.take_late_answer("a", Millis(310)) == Late::duplicate);
     CHECK_FALSE(history.reusable("a", Millis(400)));
@@ -58,9 +58,9 @@
     CHECK(history.take_late_answer("b", Millis(401)) == Late::unknown);
   }
   SECTION("it is forgotten in the end, but not for an older use of the same ref") {
-    history.dropped("a", Millis(10), 500);
+    history.cancelled("a", Millis(10), 500);
     history.reuse("a");
-    history.dropped("a", Millis(9000), 900);
+    history.cancelled("a", Millis(9000), 900);
     history.answered("b", Millis(10100));
     CHECK_FALSE(history.reusable("a", Millis(10100)));
     history.answered("c", Millis(19100));
@@ -128,7 +128,7 @@
   };
   world.fleet.exec({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
-  CHECK(world.fleet.drop({1, 0}));
+  CHECK(world.fleet.cancel({1, 0}));
   const bool drop_was_read = GENERATE(true, false);
   if (drop_was_read) {
     world.fleet.exec({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
--- /dev/null
+++ b/tests/invoker/support/call.h
@@ -0,0 +1,27 @@
+// A call that any test can send to a host of the test settings.
+#pragma once
+
+#include <string>
+
+#include "core/types.h"
+
+namespace pathstack::test {
+
+/// A valid call of a repeatable class under `ref`, which is its body, too. `allow` is how long its client
+/// waits from `arrived` on; attempts sent without the dispatcher need neither.
+inline core::Call call_of(const std::string& ref, core::Millis arrived = core::Millis(0),
+                          core::Millis allow = core::Millis(0)) {
+  core::Call call;
+  call.ref = ref;
+  call.class_name = "bin-check";
+  call.function_name = "00000000000000a1";
+  call.function = 0xa1;
+  call.memory_mb = 300;
+  call.lanes = 4;
+  call.arrived = arrived;
+  call.allow = allow;
+  call.body = ref;
+  return call;
+}
+
+}  // namespace pathstack::test
