--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -4,6 +4,7 @@
 #include <map>
 
 #include "hosts/connection.h"
+#include "support/call.h"
 #include "support/scripted_calls.h"
 #include "support/world.h"
 
@@ -16,20 +17,6 @@
 constexpr int kMaxTurns = 20000;
 constexpr Millis kMaxWait{10000};
 
-core::Call call_of(const std::string& ref, Millis arrived = Millis(0), Millis allow = Millis(0)) {
-  core::Call call;
-  call.ref = ref;
-  call.class_name = "bin-check";
-  call.function_name = "00000000000000a1";
-  call.function = 0xa1;
-  call.memory_mb = 300;
-  call.lanes = 4;
-  call.arrived = arrived;
-  call.allow = allow;
-  call.body = ref;
-  return call;
-}
-
 struct RecordingFront final : core::Front {
   std::vector<core::Verdict> verdicts;
   void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.verdict); }
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -6,6 +6,7 @@
 #include "hosts/liveness.h"
 #include "hosts/ref_history.h"
 #include "net/fields.h"
+#include "support/call.h"
 #include "support/world.h"
 
 namespace pathstack::test {
@@ -15,18 +16,6 @@
 using Late = hosts::RefHistory::Late;
 using Verdict = hosts::Liveness::Verdict;
 
-core::Call call_of(const std::string& ref) {
-  core::Call call;
-  call.ref = ref;
-  call.class_name = "bin-check";
-  call.function_name = "00000000000000a1";
-  call.function = 0xa1;
-  call.memory_mb = 300;
-  call.lanes = 4;
-  call.body = ref;
-  return call;
-}
-
 struct CountingFront final : core::Front {
   std::vector<core::Verdict> verdicts;
   void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.verdict); }
@@ -109,9 +98,7 @@
     return ++execs < 3 ? Reaction{Kind::reply, "full"} : Reaction();
   };
   CountingFront front;
-  core::Call call = call_of("000000000000000a");
-  call.arrived = world.loop.now();
-  call.allow = Millis(1400);
+  core::Call call = call_of("000000000000000a", world.loop.now(), Millis(1400));
   REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
   REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, 20000));
   CHECK(front.verdicts[0] == core::Verdict::served);
@@ -201,9 +188,7 @@
   World world(1, s);
   CountingFront front;
   const auto take_call = [&](const std::string& ref) {
-    core::Call call = call_of(ref);
-    call.arrived = world.loop.now();
-    call.allow = Millis(1400);
+    core::Call call = call_of(ref, world.loop.now(), Millis(1400));
     REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
   };
   take_call("000000000000000a");
--- a/tests/invoker/platform_test.cpp
+++ b/tests/invoker/platform_test.cpp
@@ -6,6 +6,7 @@
 
 #include "net/fields.h"
 #include "resp/front.h"
+#include "support/call.h"
 #include "support/world.h"
 
 namespace pathstack::test {
@@ -437,10 +438,7 @@
       world.turn_until([&] { return world.loop.now() - began > limits.order_timeout + Millis(50); }, 20000));
   CHECK(world.counters.value(core::Counter::hosts_health_checks) >= 2);
   world.host[0]->mute = true;
-  core::Call call;
-  call.ref = "000000000000000a";
-  call.class_name = "bin-check";
-  call.function_name = "00000000000000a1";
+  const core::Call call = call_of("000000000000000a");
   world.fleet.exec({1, 0}, "h0", call, Millis(1000));
   const Millis sent = world.loop.now();
   REQUIRE(
@@ -454,10 +452,7 @@
   limits.probes = false;
   World world(1, settings(), limits);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  core::Call call;
-  call.ref = "000000000000000a";
-  call.class_name = "bin-check";
-  call.function_name = "00000000000000a1";
+  const core::Call call = call_of("000000000000000a");
   world.fleet.exec({1, 0}, "h0", call, Millis(500));
   const Millis began = world.loop.now();
   REQUIRE(world.turn_until([&] { return world.loop.now() - began > Millis(700); }, 20000));
@@ -519,10 +514,7 @@
   World world(1, settings(), limits);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   for (core::CallId id = 1; id <= 20; ++id) {
-    core::Call call;
-    call.ref = net::hex16(id);
-    call.class_name = "bin-check";
-    call.function_name = "00000000000000a1";
+    const core::Call call = call_of(net::hex16(id));
     world.fleet.exec({id, 0}, "h0", call, Millis(5000));
   }
   REQUIRE(world.turn_until([&] { return world.host[0]->execs >= 12; }, 200));
@@ -537,10 +529,7 @@
   World world(4, settings(), limits);
   core::CallId calls = 0;
   const auto run = [&](std::size_t host) {
-    core::Call call;
-    call.ref = net::hex16(++calls);
-    call.class_name = "bin-check";
-    call.function_name = "00000000000000a1";
+    const core::Call call = call_of(net::hex16(++calls));
     world.fleet.exec({calls, 0}, "h" + std::to_string(host), call, Millis(1000));
     const auto answers = world.counters.value(core::Counter::hosts_answers_data);
     return world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) > answers; },
@@ -569,10 +558,7 @@
     world.fleet.members(list);
   };
   const auto exec = [&](core::CallId id, std::size_t size) {
-    core::Call call;
-    call.ref = net::hex16(id);
-    call.class_name = "bin-check";
-    call.function_name = "00000000000000a1";
+    core::Call call = call_of(net::hex16(id));
     call.body = std::string(size, 'x');
     world.fleet.exec({id, 0}, "h0", call, Millis(5000));
   };
