--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -30,15 +30,15 @@
       load_budget_(settings.load_window, settings.load_floor, settings.load_ratio),
       validator_(settings) {}
 
-Dispatcher::OpenCall* Dispatcher::find_call(CallId id) {
+OpenCall* Dispatcher::find_call(CallId id) {
   const auto found = calls_.find(id);
   return found == calls_.end() ? nullptr : &found->second;
 }
 
 // Nothing unless `attempt` is the one that the call has open.
-Dispatcher::OpenCall* Dispatcher::find_call_with(const Attempt& attempt) {
+OpenCall* Dispatcher::find_call_with(const Attempt& attempt) {
   OpenCall* call = find_call(attempt.call);
-  const bool is_open = call != nullptr && call->attempt && call->attempt->attempt == attempt;
+  const bool is_open = call != nullptr && call->attempt() && call->attempt()->attempt == attempt;
   return is_open ? call : nullptr;
 }
 
@@ -64,12 +64,11 @@
   }
   counters_.add(Counter::calls_taken);
   load_budget_.note_call(clock_());
-  OpenCall& open = calls_[id];
-  open.call = std::move(call);
-  open.front = &front;
-  open.runs_once = must_run_once(open.call.class_name);
-  deadlines_.push({open.call.arrived + open.call.allow + kOverdue, id, Deadline::kOfCall});
-  apply_steps(module_.pick(clock_(), id, open.call));
+  const bool runs_once = must_run_once(call.class_name);
+  const auto added = calls_.insert_or_assign(id, OpenCall(std::move(call), front, runs_once)).first;
+  const Call& taken = added->second.call();
+  deadlines_.push({taken.arrived + taken.allow + kOverdue, id, Deadline::kOfCall});
+  apply_steps(module_.pick(clock_(), id, taken));
   return true;
 }
 
@@ -79,13 +78,13 @@
   // The module is notified before the attempt ends: it must not retry what nobody waits for.
   apply_steps(module_.report(clock_(), CallLeft{id}));
   OpenCall* open = find_call(id);
-  if (open != nullptr && open->attempt) {
-    hosts_.cancel(open->attempt->attempt);
+  if (open != nullptr && open->attempt()) {
+    hosts_.cancel(open->attempt()->attempt);
     report_abandoned_attempt(*open, Outcome::cancelled, true);
   }
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  references_.end(found->second.call.ref, clock_());
+  references_.end(found->second.call().ref, clock_());
   calls_.erase(found);
 }
 
@@ -100,19 +99,10 @@
   }
 }
 
-// The call's attempt is open no more, and what its outcome proves is noted.
-Dispatcher::OpenAttempt Dispatcher::close_attempt(OpenCall& call, Outcome outcome) {
-  OpenAttempt closed = std::move(*call.attempt);
-  call.attempt.reset();
-  if (!pathstack::policy::proves_never_ran(outcome)) call.may_have_run = true;
-  if (outcome == Outcome::not_sent) ++call.not_sent;
-  return closed;
-}
-
 // Reports the end of an attempt that this side gave up, if one is open. `call` may be gone afterwards.
 void Dispatcher::report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_over) {
-  if (!call.attempt) return;
-  const OpenAttempt closed = close_attempt(call, outcome);
+  if (!call.attempt()) return;
+  const OpenAttempt closed = call.close_attempt(outcome);
   const Millis now = clock_();
   AttemptOutcome end;
   end.attempt = closed.attempt;
@@ -126,7 +116,7 @@
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
   OpenCall* call = find_call_with(attempt);
   if (call == nullptr) return;
-  const OpenAttempt closed = close_attempt(*call, end.outcome);
+  const OpenAttempt closed = call->close_attempt(end.outcome);
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
   AttemptOutcome reported;
@@ -203,24 +193,17 @@
 void Dispatcher::apply(const SendStep& step) {
   OpenCall* call = find_call(step.call);
   if (call == nullptr) return;
-  const Attempt attempt{step.call, call->next_attempt++};
+  const Attempt attempt{step.call, call->take_attempt_number()};
   const Millis now = clock_();
-  const Millis time_left = call->call.arrived + call->call.allow - now;
+  const Millis time_left = call->time_left(now);
   const Millis timeout = step.timeout.count() > 0 ? std::min(step.timeout, time_left) : time_left;
-  if (!may_send(*call, attempt, timeout)) return refuse_send(step, attempt, call->attempt.has_value());
+  if (timeout < kMinTimeout || !call->may_send(attempt.number, settings_.max_attempts)) {
+    return refuse_send(step, attempt, call->attempt().has_value());
+  }
   counters_.add(Counter::attempts_sent);
-  call->attempt = OpenAttempt{attempt, step.host, now};
+  call->open_attempt({attempt, step.host, now});
   deadlines_.push({now + timeout, step.call, attempt.number});
-  hosts_.exec(attempt, step.host, call->call, timeout);
-}
-
-// The rules of attempts, which hold whatever the module says: one open at a time, a few in all, none where
-// one may have run and must not run twice.
-bool Dispatcher::may_send(const OpenCall& call, const Attempt& attempt, Millis timeout) const {
-  // Attempts that a local fault kept here do not count; the backoff of `Hosts` bounds how many there are.
-  const bool attempts_spent = attempt.number - call.not_sent >= settings_.max_attempts;
-  const bool would_run_twice = call.runs_once && call.may_have_run;
-  return !call.attempt && !would_run_twice && !attempts_spent && timeout >= kMinTimeout;
+  hosts_.exec(attempt, step.host, call->call(), timeout);
 }
 
 void Dispatcher::refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
@@ -238,9 +221,9 @@
 void Dispatcher::apply(const RefuseStep& step) {
   OpenCall* call = find_call(step.call);
   if (call == nullptr) return;
-  if (call->attempt && hosts_.cancel(call->attempt->attempt)) call->may_have_run = true;
+  if (call->attempt() && hosts_.cancel(call->attempt()->attempt)) call->note_may_have_run();
   // A refusal says that a retry is harmless; what may have run is failed, with the same advice.
-  const bool harmless = !call->may_have_run;
+  const bool harmless = !call->may_have_run();
   finish(step.call, {harmless ? Verdict::refused : Verdict::failed, step.retry_after, {}});
 }
 
@@ -264,10 +247,10 @@
   if (found == calls_.end()) return;
   OpenCall call = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
-  references_.end(call.call.ref, clock_());
+  references_.end(call.call().ref, clock_());
   counters_.add(counter_of(answer.verdict));
-  if (call.attempt) hosts_.cancel(call.attempt->attempt);
-  call.front->answer(id, std::move(answer));
+  if (call.attempt()) hosts_.cancel(call.attempt()->attempt);
+  call.front().answer(id, std::move(answer));
   report_abandoned_attempt(call, Outcome::cancelled, true);
 }
 
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -4,7 +4,6 @@
 #include <deque>
 #include <functional>
 #include <map>
-#include <optional>
 #include <queue>
 #include <string>
 #include <unordered_map>
@@ -15,6 +14,7 @@
 #include "core/counters.h"
 #include "core/load_budget.h"
 #include "core/module.h"
+#include "core/open_call.h"
 #include "core/types.h"
 
 namespace pathstack::core {
@@ -64,20 +64,6 @@
   std::map<std::string, double> tally() const { return module_.tally(); }
 
  private:
-  struct OpenAttempt {
-    Attempt attempt;
-    std::string host;
-    Millis sent_at{0};
-  };
-  struct OpenCall {
-    Call call;
-    Front* front = nullptr;
-    bool runs_once = true;  // must not run twice
-    bool may_have_run = false;
-    int next_attempt = 0;  // its number, as the module counts them
-    int not_sent = 0;      // attempts that a fault of this machine kept from leaving
-    std::optional<OpenAttempt> attempt;
-  };
   struct Deadline {
     static constexpr int kOfCall = -1;
     Millis at{0};
@@ -115,11 +101,9 @@
   OpenCall* find_call_with(const Attempt& attempt);
   bool is_valid(const Call& call);
   bool must_run_once(const std::string& class_name) const;
-  bool may_send(const OpenCall& call, const Attempt& attempt, Millis timeout) const;
   void refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open);
   void attempt_timed_out(const Attempt& attempt);
   void call_overdue(CallId id);
-  static OpenAttempt close_attempt(OpenCall& call, Outcome outcome);
   void report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_over);
   void finish(CallId id, Answer&& answer);
 };
