--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -10,26 +10,26 @@
 namespace pathstack::test {
 namespace {
 
-// Hosts that only note; a front that only counts. Both check the rules on whatever they are told.
-struct Desk final : core::Hosts, core::Front {
-  struct Out {
+// Hosts that only note; a front that only counts. Both check the rules on whatever reaches them.
+struct RecordingPeers final : core::Hosts, core::Front {
+  struct SentAttempt {
     std::string body, host;
-    bool out = true;
+    bool open = true;
   };
-  std::map<core::Attempt, Out> attempts;
+  std::map<core::Attempt, SentAttempt> attempts;
   std::map<core::CallId, std::vector<core::Answer>> answers;
   std::vector<std::pair<std::string, std::uint64_t>> orders;
   void exec(const core::Attempt& a, const std::string& host, const core::Call& call,
-            Millis patience) override {
-    CHECK(patience.count() > 0);
+            Millis timeout) override {
+    CHECK(timeout.count() > 0);
     CHECK(answers.count(a.call) == 0);
-    for (const auto& [other, o] : attempts) CHECK_FALSE((other.call == a.call && o.out));
+    for (const auto& [other, o] : attempts) CHECK_FALSE((other.call == a.call && o.open));
     CHECK(a.number < 4);
     attempts[a] = {call.body, host};
   }
   bool cancel(const core::Attempt& a) override {
     const auto found = attempts.find(a);
-    return found != attempts.end() && std::exchange(found->second.out, false);
+    return found != attempts.end() && std::exchange(found->second.open, false);
   }
   void probe(const std::string&) override {}
   void ensure(const std::string& host, std::uint64_t function, int) override {
@@ -41,15 +41,15 @@
   }
 };
 
-struct Bench {
+struct DispatcherFixture {
   Millis now{1000};
-  Desk desk;
+  RecordingPeers peers;
   core::Counters counters;
   core::Dispatcher dispatcher;
   int refs = 0;
-  explicit Bench(int hosts, const core::Settings& s = settings())
+  explicit DispatcherFixture(int hosts, const core::Settings& s = settings())
       : dispatcher(
-            s, [this] { return now; }, desk, counters) {
+            s, [this] { return now; }, peers, counters) {
     core::HostList list;
     for (int i = 0; i < hosts; ++i) {
       list.entries.emplace_back();
@@ -69,7 +69,7 @@
     c.allow = allow;
     c.body = ref;
     const core::CallId id = dispatcher.next_id();
-    CHECK(dispatcher.take(id, std::move(c), desk));
+    CHECK(dispatcher.take(id, std::move(c), peers));
     return id;
   }
   void pass(Millis span) {
@@ -83,26 +83,26 @@
 };
 
 TEST_CASE("a shutdown answers all before the earliest SIGKILL, and not before the requests have stopped") {
-  const Millis deadline{GENERATE(300.0, 1500.0, 3000.0, 7000.0)}, told{5000};
-  const Millis kill = told + std::min(deadline, Millis(3000)) + Millis(700);
+  const Millis deadline{GENERATE(300.0, 1500.0, 3000.0, 7000.0)}, sigterm{5000};
+  const Millis sigkill = sigterm + std::min(deadline, Millis(3000)) + Millis(700);
   core::Shutdown shutdown(deadline);
-  CHECK((shutdown.listens(told) && !shutdown.answers_due(Millis(1e9)) && !shutdown.over(Millis(1e9))));
-  shutdown.begin(told);
-  shutdown.begin(told + Millis(400));  // a second SIGTERM gives no more time
-  CHECK((shutdown.listens(told + Millis(450)) && shutdown.requests_come(told + Millis(700))));
-  CHECK_FALSE(shutdown.answers_due(told + Millis(700)));
-  CHECK((shutdown.answers_due(kill - Millis(150)) && shutdown.over(kill - Millis(50))));
+  CHECK((shutdown.listens(sigterm) && !shutdown.answers_due(Millis(1e9)) && !shutdown.over(Millis(1e9))));
+  shutdown.begin(sigterm);
+  shutdown.begin(sigterm + Millis(400));  // a second SIGTERM gives no more time
+  CHECK((shutdown.listens(sigterm + Millis(450)) && shutdown.requests_come(sigterm + Millis(700))));
+  CHECK_FALSE(shutdown.answers_due(sigterm + Millis(700)));
+  CHECK((shutdown.answers_due(sigkill - Millis(150)) && shutdown.over(sigkill - Millis(50))));
 }
 
 TEST_CASE(
     "whatever hosts do, a call has one answer in time, one attempt out and no second run of a bin-record") {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     Random random(seed);
-    Bench b(3);
+    DispatcherFixture b(3);
     std::map<core::CallId, Millis> deadline;
     std::map<core::CallId, bool> once, left;
     std::map<core::CallId, int> may_have_run;
-    std::size_t loads_told = 0;
+    std::size_t loads_answered = 0;
     for (int step = 0; step < 400; ++step) {
       if (below(random, 4) == 0) {
         const bool record = below(random, 2) == 0;
@@ -112,43 +112,43 @@
         once[id] = record;
       }
       for (const auto& order : std::vector<std::pair<std::string, std::uint64_t>>(
-               b.desk.orders.begin() + static_cast<std::ptrdiff_t>(loads_told), b.desk.orders.end())) {
-        ++loads_told;
+               b.peers.orders.begin() + static_cast<std::ptrdiff_t>(loads_answered), b.peers.orders.end())) {
+        ++loads_answered;
         const bool good = below(random, 4) != 0;
         b.dispatcher.load_ended({order.first, order.second, good ? core::Outcome::ok : core::Outcome::full,
                                  Millis(200), good ? 1 : 0});
       }
-      const auto now_out = b.desk.attempts;
-      for (const auto& [attempt, o] : now_out) {
-        if (!b.desk.attempts[attempt].out || below(random, 3) != 0) continue;
+      const auto attempts_now = b.peers.attempts;
+      for (const auto& [attempt, o] : attempts_now) {
+        if (!b.peers.attempts[attempt].open || below(random, 3) != 0) continue;
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
         if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
-        b.desk.attempts[attempt].out = false;
+        b.peers.attempts[attempt].open = false;
         if (!pathstack::policy::proves_never_ran(outcome)) ++may_have_run[attempt.call];
         b.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
       }
       if (below(random, 10) == 0 && !deadline.empty()) {
         const auto id =
             std::next(deadline.begin(), static_cast<std::ptrdiff_t>(below(random, deadline.size())))->first;
-        if (b.desk.answers.count(id) == 0) {
+        if (b.peers.answers.count(id) == 0) {
           left[id] = true;
           b.dispatcher.leave(id);
         }
       }
       b.pass(Millis(static_cast<double>(below(random, 40))));
       for (const auto& [id, at] : deadline) {
-        if (b.now > at + Millis(16) && !left[id]) CHECK(b.desk.answers[id].size() == 1);
+        if (b.now > at + Millis(16) && !left[id]) CHECK(b.peers.answers[id].size() == 1);
       }
     }
     b.pass(Millis(3000));
     CHECK(b.dispatcher.open() == 0);
     for (const auto& [id, at] : deadline) {
-      const auto& answers = b.desk.answers[id];
+      const auto& answers = b.peers.answers[id];
       CHECK(answers.size() == (left[id] ? 0U : 1U));
       if (once[id]) CHECK(may_have_run[id] <= 1);
       if (!answers.empty() && answers[0].verdict == core::Verdict::refused) CHECK(may_have_run[id] == 0);
     }
-    for (const auto& [attempt, o] : b.desk.attempts) CHECK_FALSE(o.out);
+    for (const auto& [attempt, o] : b.peers.attempts) CHECK_FALSE(o.open);
   }
 }
 
@@ -156,16 +156,16 @@
   core::Settings s = settings();
   s.tenants.push_back({"redgum-estate", 1, 100});
   s.kind_memory_mb["std-2c"] = 3456;
-  Bench b(1, s);
+  DispatcherFixture b(1, s);
   const auto takes = [&](const auto& change) {
     core::Call c;
-    c.ref = "r" + std::to_string(b.desk.answers.size() + b.refs++);
+    c.ref = "r" + std::to_string(b.peers.answers.size() + b.refs++);
     c.class_name = "bin-check";
     c.tenant = "redgum-estate";
     c.memory_mb = 300;
     c.allow = Millis(1000);
     change(c);
-    return b.dispatcher.take(b.dispatcher.next_id(), std::move(c), b.desk);
+    return b.dispatcher.take(b.dispatcher.next_id(), std::move(c), b.peers);
   };
   CHECK(takes([](core::Call&) {}));
   CHECK(takes([](core::Call& c) { c.ref = "same"; }));
@@ -191,31 +191,31 @@
 // Failure found on a calm day on real sockets: first calls with allow=2003 under a deadline of 2,000 ms were
 // answered FAILED. Time limits grow by 50 ms on sockets.
 TEST_CASE("a call is taken whose client waits up to 50 ms longer than its class's deadline") {
-  Bench b(1, settings());
+  DispatcherFixture b(1, settings());
   b.call("bin-check", "early", Millis(1503));
   b.call("bin-check", "earliest", Millis(1550));
   CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
   CHECK(b.counters.value(core::Counter::calls_taken) == 2);
-  CHECK(b.desk.attempts.size() == 2);
+  CHECK(b.peers.attempts.size() == 2);
 }
 
 // Failure found in review: settings that name kinds of hosts and not their memory had every call failed.
-TEST_CASE("calls are taken where the memory of a kind of host is not told") {
+TEST_CASE("calls are taken where the memory of a kind of host is not stated") {
   core::Settings s = settings();
   s.kind_memory_mb["std"] = 0;
-  Bench b(1, s);
+  DispatcherFixture b(1, s);
   const auto id = b.call("bin-check", "a");
   CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
-  CHECK(b.desk.attempts.size() == 1);
-  CHECK(b.desk.attempts.begin()->first.call == id);
+  CHECK(b.peers.attempts.size() == 1);
+  CHECK(b.peers.attempts.begin()->first.call == id);
 }
 
 TEST_CASE("a call for which there is no host is answered by its deadline") {
-  Bench b(0);
+  DispatcherFixture b(0);
   const auto id = b.call("bin-record", "r");
   b.pass(Millis(1016));
-  REQUIRE(b.desk.answers[id].size() == 1);
-  CHECK(b.desk.answers[id][0].verdict == core::Verdict::refused);
+  REQUIRE(b.peers.answers[id].size() == 1);
+  CHECK(b.peers.answers[id][0].verdict == core::Verdict::refused);
 }
 
 }  // namespace
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -151,7 +151,7 @@
   };
   world.fleet.exec({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
-  const auto tell = [&](const std::string& id, pathstack::policy::WorkerState state) {
+  const auto update_member = [&](const std::string& id, pathstack::policy::WorkerState state) {
     core::MemberList change;
     change.members.emplace_back();
     change.members[0].entry.worker = id;
@@ -159,7 +159,7 @@
     change.members[0].address = world.host[0]->server.address();
     world.fleet.members(change);
   };
-  tell("h1", pathstack::policy::WorkerState::ready);
+  update_member("h1", pathstack::policy::WorkerState::ready);
   world.fleet.exec({2, 0}, "h1", call_of("000000000000000b"), Millis(5000));
   REQUIRE(
       world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 1; }, 20000));
@@ -169,9 +169,9 @@
       world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 2; }, 20000));
   CHECK(world.counters.value(core::Counter::hosts_links_opened) ==
         3);  // nothing new goes over the one to the former host
-  tell("h0", pathstack::policy::WorkerState::gone);
-  tell("h1", pathstack::policy::WorkerState::gone);
-  tell("h2", pathstack::policy::WorkerState::ready);
+  update_member("h0", pathstack::policy::WorkerState::gone);
+  update_member("h1", pathstack::policy::WorkerState::gone);
+  update_member("h2", pathstack::policy::WorkerState::ready);
   world.fleet.exec({4, 0}, "h2", call_of("000000000000000d"), Millis(5000));
   REQUIRE(
       world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 3; }, 20000));
