--- a/src/app/part_settings.h
+++ b/src/app/part_settings.h
@@ -6,7 +6,7 @@
 #include "amqp/front.h"
 #include "config/config.h"
 #include "core/types.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "resp/front.h"
 
 namespace pathstack::app {
