--- a/include/pathstack/policy.h
+++ b/include/pathstack/policy.h
@@ -52,7 +52,7 @@
   Semantics semantics = Semantics::once;
   KeyScope scope = KeyScope::all;
   Millis key_window{0}, aim{0}, deadline{0};
-  double aim_stretch = 0, worth = 1, late_worth = 0;
+  double objective_slowdown = 0, worth = 1, late_worth = 0;
   bool stream = false;
 };
 struct TenantSettings {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -28,7 +28,7 @@
   read.key_window = millis(key(row, "KeyTtl"));
   read.aim = millis(key(row, "Aim"));
   read.deadline = millis(key(row, "HardLimit"));
-  read.aim_stretch = number(key(row, "AimStretch"));
+  read.objective_slowdown = number(key(row, "AimStretch"));
   read.worth = number(key(row, "Gain"), 1);
   read.late_worth = number(key(row, "LateValue"));
   read.stream = flag(key(row, "Stream"));
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -19,7 +19,6 @@
 constexpr double kMostSlowdown = 20;
 constexpr double kOversubscribed = 2;  // a slowdown past this says that the worker's cores are oversubscribed
 constexpr double kFullSlowdown = 6;    // a worker that refuses an attempt counts as slowed down this much
-constexpr double kInService = 4;       // what a worker serves at once, about: more of them wait
 constexpr double kOtherZoneCost = 1.15;
 constexpr double kLeastWeight = 0.01;
 
--- a/src/policy/function_table.h
+++ b/src/policy/function_table.h
@@ -12,6 +12,9 @@
 
 namespace pathstack::policy {
 
+/// Most instances of one function at one worker, by the wire.
+inline constexpr int kMostInstancesAtWorker = 16;
+
 /// What is believed of one function at one worker.
 struct Instance {
   WorkerIndex worker = 0;
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -10,7 +10,6 @@
 constexpr Millis kReportPace{1000};          // reports of a worker are refreshed about as often
 constexpr Millis kGossipPaceWithProbes{60};  // as many reports come as there are workers
 constexpr double kInvokersToNotify = 30;     // where answers bring reports, so many invokers notify in a pace
-constexpr double kInService = 4;             // what a worker serves at once, about: more of them wait
 constexpr double kMostWaiting = 1000;
 constexpr double kPeerCallsGain = 0.002;  // hundreds of invokers notify, some far busier than others
 constexpr double kNoOutlier = 1e9;
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -10,6 +10,9 @@
 
 namespace pathstack::policy {
 
+/// Requests that a worker serves at once, about: more of them wait.
+inline constexpr double kInService = 4;
+
 /// Load of workers and of the other invokers.
 ///
 /// Each invoker alone hears from a worker seldom. So two invokers a worker probe it, whoever has a report
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -11,7 +11,6 @@
 constexpr double kRunsThatShowLoadUnconfirmed = 2.5;
 constexpr double kLeastLoad = 1;     // milliseconds
 constexpr int kLocalFaultTries = 3;  // so often a request is sent elsewhere at once, then after the backoff
-constexpr int kMostInstancesAtWorker = 16;  // of one function, by the wire
 
 /// The outcome says that bytes of the worker arrived, or that it refused a connection.
 bool is_heard_from(Outcome outcome) {
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -5,11 +5,6 @@
 #include <map>
 
 namespace pathstack::policy {
-namespace {
-
-constexpr int kMostInstancesAtWorker = 16;  // of one function, by the wire
-
-}  // namespace
 
 Scheduler::Scheduler(const Settings& settings, WorkerTable& workers, FunctionTable& functions,
                      RequestTable& requests, const ServiceTimes& times, SlowStart& slow_start,
--- a/tests/policy_local_fault_test.cpp
+++ b/tests/policy_local_fault_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ(r.sends[2].id, "x");
 }
 
-// A worker is judged by none of them: it is not ejected, asked for or taken for silent or stretched.
+// A worker is judged by none of them: it is not ejected, probed, or taken for silent or slowed down.
 TEST(NotSent, SaysNothingOfTheWorker) {
   Settings s = self_loading();
   s.probes = true;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -252,9 +252,9 @@
   EXPECT_EQ(r.refused.size(), 7U);
 }
 
-// Failure found (h6ac7e3): calls that met full workers spilled on and on; their loads pushed copies out for
-// good.
-TEST(Places, CallsDoNotSpillOverTheWholeFleet) {
+// Failure found (h6ac7e3): calls that met full workers overflowed on and on; their loads pushed copies out
+// for good.
+TEST(Places, CallsDoNotOverflowToTheWholeFleet) {
   Router r(crowd_settings());
   r.list(fleet());
   std::set<std::string> used;
@@ -320,8 +320,8 @@
 }
 
 // Failure found (inc142): where answers don't tell of loads, those that waited for one counted as runs of 1.5
-// s: workers looked stretched and warm ones were sent nothing.
-TEST(Ordinary, AnswersThatWaitedForALoadDoNotStretchAWorker) {
+// s: workers looked slowed down and warm ones were sent nothing.
+TEST(Ordinary, AnswersThatWaitedForALoadDoNotSlowDownAWorker) {
   Settings s = settings();
   s.routers = 100;
   s.tells_warm = false;
@@ -401,8 +401,8 @@
   EXPECT_EQ(r.sends.back().worker, slow);
 }
 
-// Failure found (inc142): four loads in ten were at a second or third host, for calls that spilled.
-TEST(Places, ACallSpillsToOneFurtherWorker) {
+// Failure found (inc142): four loads in ten were at a second or third host, for calls that overflowed.
+TEST(Places, ACallOverflowsToOneFurtherWorker) {
   Router r(crowd_settings());
   r.list(fleet());
   std::set<std::string> used;
@@ -603,7 +603,7 @@
 }
 
 // Failure found: calls piled on a worker that served them all late.
-TEST(Belief, AStretchedWorkerGetsFewerCalls) {
+TEST(Belief, ASlowedDownWorkerGetsFewerCalls) {
   Router r = warm_router(settings(), 16);
   for (int i = 0; i < 8; ++i) {
     r.request(id("slow", i));
