--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -1,31 +1,35 @@
 #include "resp/front.h"
 
 #include <algorithm>
-#include <cmath>
 #include <functional>
 #include <optional>
 #include <unordered_set>
 
-#include "net/fields.h"
+#include "resp/reply.h"
+#include "resp/request_decoder.h"
 
 namespace pathstack::resp {
 namespace {
 
-using net::field;
-
-constexpr std::uint64_t kLongestAllow = std::uint64_t{3600} * 1000;
 constexpr std::size_t kAcceptsATurn = 64;
 constexpr int kMaxAcceptTurnsAtStop = 16;  // of kAcceptsATurn each: more than the kernel's queue holds
 // Calls may wait on connections that the kernel has accepted already, so the pause is short.
 constexpr core::Millis kMinAcceptBackoff{5}, kMaxAcceptBackoff{20};
-constexpr std::size_t kFaultsMost = 64;        // calls of one connection that were turned away unread
-constexpr std::size_t kUnreadMost = 1U << 20;  // answers that a client has not read
+constexpr std::size_t kMaxRejectedCalls = 64;      // of one connection
+constexpr std::size_t kMaxUnreadBytes = 1U << 20;  // answers that a client has not read
 
 // False: the next accept has to wait for a connection, or for a descriptor.
 bool may_have_more(net::AcceptStatus status) {
   return status == net::AcceptStatus::accepted || status == net::AcceptStatus::connection_failed;
 }
 
+core::Counter counter_of(RequestError error) {
+  if (error == RequestError::bad_tag) return core::Counter::resp_no_tag;
+  if (error == RequestError::unknown_verb) return core::Counter::resp_unknown_verb;
+  if (error == RequestError::wrong_word_count) return core::Counter::resp_bad_call;
+  return core::Counter::resp_bad_fields;
+}
+
 }  // namespace
 
 class Front::Client final : public net::Stream {
@@ -73,7 +77,7 @@
   Front& front_;
   Parser parser_;
   net::Loop::TimerId request_timer_{};
-  bool begun_ = true;      // a newcomer owes its first request from the start
+  bool begun_ = true;      // the first request is due from the start
   bool overdue_ = false;   // the rest of a request did not come in time
   bool rejected_ = false;  // the client broke the protocol
   std::optional<core::Millis> waited_since_, first_read_;
@@ -97,7 +101,7 @@
     note_reading();
     std::vector<Words> commands;
     const bool sound = parser_.take(bytes, commands);
-    if (!commands.empty() && !front_.promote(*this)) return front_.turn_away(*this, commands);
+    if (!commands.empty() && !front_.activate(*this)) return front_.refuse_connection(*this, commands);
     // A timer a begun request: the next one's time starts with its own first byte.
     if (begun_ && (!commands.empty() || !parser_.begun())) {
       loop().cancel(request_timer_);
@@ -106,7 +110,7 @@
     }
     if (parser_.begun() && (!begun_ || !commands.empty())) expect_whole();
     begun_ = parser_.begun() || !asked;
-    leave_out_taken_back(commands);
+    drop_cancelled_calls(commands);
     for (auto& words : commands) {
       if (rejected_ || ending()) return;  // what came behind a fault is not begun
       front_.take(*this, std::move(words));
@@ -121,22 +125,23 @@
     if (!first_read_) first_read_ = turn;
     if (*first_read_ != turn) waited_since_.reset();
   }
-  // Danger: hundreds of calls that are taken back in the bytes they came in would each cost a host something.
-  void leave_out_taken_back(std::vector<Words>& commands) {
+  // Drops calls that are cancelled in the very bytes they came in: each would cost a worker something, and a
+  // client may send hundreds at once.
+  void drop_cancelled_calls(std::vector<Words>& commands) {
     std::unordered_set<std::string> cancelled;
-    const auto taken_back = [&](const Words& words) {
+    const auto cancelled_before_read = [&](const Words& words) {
       if (words.size() < 2) return false;
       if (words[0] == "CANCEL") cancelled.insert(words[1]);
       return words[0] == "CALL" && open_calls.count(words[1]) == 0 && cancelled.count(words[1]) != 0;
     };
-    const auto kept = std::remove_if(commands.rbegin(), commands.rend(), taken_back);
+    const auto kept = std::remove_if(commands.rbegin(), commands.rend(), cancelled_before_read);
     if (kept == commands.rend()) return;
     front_.counters_.add(core::Counter::resp_taken_back, static_cast<std::uint64_t>(commands.rend() - kept));
     commands.erase(commands.begin(), kept.base());
   }
   void ended() override {
     loop().cancel(request_timer_);
-    front_.gone(*this);
+    front_.on_closed(*this);
   }
 };
 
@@ -178,17 +183,17 @@
 bool Front::reading() const {
   const auto begun = [](const auto& c) { return c->reading(); };
   return std::any_of(clients_.begin(), clients_.end(), begun) ||
-         std::any_of(newcomers_.begin(), newcomers_.end(), begun);
+         std::any_of(pending_.begin(), pending_.end(), begun);
 }
 
 void Front::close_connections() {
   std::vector<std::shared_ptr<Client>> left(clients_.begin(), clients_.end());
-  left.insert(left.end(), newcomers_.begin(), newcomers_.end());
+  left.insert(left.end(), pending_.begin(), pending_.end());
   for (const auto& client : left) client->reject_input();
 }
 
 // `client` is a reference of its own: it may be erased from its list at once.
-void Front::shed(std::shared_ptr<Client> client, core::Counter why) {
+void Front::evict(std::shared_ptr<Client> client, core::Counter why) {
   counters_.add(why);
   client->close();
   client->flush();
@@ -208,7 +213,7 @@
 
 // A whole request has come: the connection takes a place among the clients, of the one longest unheard with
 // no call open if need be. False if there is none.
-bool Front::promote(Client& client) {
+bool Front::activate(Client& client) {
   clients_.splice(clients_.end(), *client.list, client.place);
   client.list = &clients_;
   client.asked = true;
@@ -216,29 +221,30 @@
   const auto self = std::prev(clients_.end());
   const auto idle = std::find_if(clients_.begin(), self, [](const auto& c) { return c->idle(); });
   if (idle != self) {
-    shed(*idle, core::Counter::resp_idle_closed);
+    evict(*idle, core::Counter::resp_idle_closed);
     return true;
   }
   return false;
 }
 
 // Nothing of it is sent on: its calls are refused, and the connection ends.
-void Front::turn_away(Client& client, const std::vector<Words>& commands) {
+void Front::refuse_connection(Client& client, const std::vector<Words>& commands) {
   counters_.add(core::Counter::resp_no_place);
   for (const auto& words : commands) {
     if (words.size() < 2) continue;
-    if (words[0] == "CALL") say(client, words[1], core::Verdict::refused, core::Millis(0), {});
-    if (words[0] == "CHECK") say_check(client, words[1]);
+    if (words[0] == "CALL") reply(client, words[1], {core::Verdict::refused, core::Millis(0), {}});
+    if (words[0] == "CHECK") reply_health(client, words[1]);
   }
   client.reject_input();
 }
 
-// Danger: connections by hundreds that say nothing. The oldest goes, unless its request has come by now.
-void Front::bound_newcomers() {
-  if (newcomers_.size() <= limits_.newcomers) return;
-  const std::shared_ptr<Client> oldest = newcomers_.front();
+// Connections that send no request are bounded, or they would use up the descriptors. The oldest is closed,
+// unless its request has come by now.
+void Front::limit_pending() {
+  if (pending_.size() <= limits_.newcomers) return;
+  const std::shared_ptr<Client> oldest = pending_.front();
   oldest->ready(POLLIN);
-  if (!oldest->asked && !oldest->ending()) shed(oldest, core::Counter::resp_silent_closed);
+  if (!oldest->asked && !oldest->ending()) evict(oldest, core::Counter::resp_silent_closed);
 }
 
 void Front::ready(short) { accept_some(); }
@@ -253,11 +259,11 @@
     if (status != net::AcceptStatus::accepted) continue;
     counters_.add(core::Counter::resp_connections);
     accept_backoff_ = core::Millis(0);
-    newcomers_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
-    newcomers_.back()->place = std::prev(newcomers_.end());
-    newcomers_.back()->list = &newcomers_;
-    if (waiting_since_) newcomers_.back()->waited_since(*waiting_since_);
-    bound_newcomers();
+    pending_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
+    pending_.back()->place = std::prev(pending_.end());
+    pending_.back()->list = &pending_;
+    if (waiting_since_) pending_.back()->waited_since(*waiting_since_);
+    limit_pending();
   }
   if (status == net::AcceptStatus::none_waiting) waiting_since_.reset();
   if (status == net::AcceptStatus::retry_later) {
@@ -286,27 +292,31 @@
 }
 
 void Front::take(Client& client, Words&& words) {
-  const auto tag = words.size() < 2 ? std::nullopt : net::parse_whole(words[1], UINT64_MAX);
-  if (!tag || *tag == 0) {
-    counters_.add(core::Counter::resp_no_tag);  // there is nothing to answer under
-    return client.reject_input();
+  const auto decoded = decode_header(words);
+  const auto* const header = std::get_if<RequestHeader>(&decoded);
+  if (header == nullptr) {
+    const auto error = std::get<RequestError>(decoded);
+    counters_.add(counter_of(error));
+    if (error == RequestError::bad_tag) return client.reject_input();
+    return reply(client, words[1], {});
   }
-  if (words[0] == "CALL") return call(client, std::move(words));
-  if (words[0] == "CANCEL") {
-    counters_.add(core::Counter::resp_cancels);
-    const auto found = client.open_calls.find(words[1]);
-    if (found == client.open_calls.end()) return;  // its answer has crossed
-    const core::CallId id = found->second;
-    unfile(id);
-    return dispatcher_.leave(id);
+  switch (header->kind) {
+    case RequestKind::call: return call(client, header->tag, std::move(words));
+    case RequestKind::cancel: return cancel(client, header->tag);
+    case RequestKind::check: return reply_health(client, header->tag);
   }
-  if (words[0] == "CHECK") return say_check(client, words[1]);
-  counters_.add(core::Counter::resp_unknown_verb);
-  say(client, words[1], core::Verdict::failed, core::Millis(0), {});
 }
 
-void Front::call(Client& client, Words&& words) {
-  const std::string tag = words[1];
+void Front::cancel(Client& client, const std::string& tag) {
+  counters_.add(core::Counter::resp_cancels);
+  const auto found = client.open_calls.find(tag);
+  if (found == client.open_calls.end()) return;  // its answer was sent before the request came
+  const core::CallId id = found->second;
+  remove_call(id);
+  dispatcher_.leave(id);
+}
+
+void Front::call(Client& client, const std::string& tag, Words&& words) {
   if (client.open_calls.count(tag) != 0) {
     counters_.add(core::Counter::resp_tag_repeated);
     // An answer to one of the two calls could be taken for the other's, so none may say OK.
@@ -316,100 +326,56 @@
   if (client.open_calls.size() >= limits_.calls_a_client) {
     return reject(client, tag, core::Counter::resp_too_many_open, core::Verdict::refused);
   }
-  if (words.size() < 4 || words.size() > 5) return reject(client, tag, core::Counter::resp_bad_call);
-  const auto fields = net::parse_fields(words[3]);
-  if (!fields) return reject(client, tag, core::Counter::resp_bad_fields);
-  const auto ref = net::parse_hex16(field(*fields, "ref")),
-             function = net::parse_hex16(field(*fields, "lookup"));
-  const auto allow = net::parse_whole(field(*fields, "allow"), kLongestAllow);
-  const auto spec = net::parse_fields(field(*fields, "spec"), ';', ':');
-  if (!ref || !function || !allow || !spec) return reject(client, tag, core::Counter::resp_bad_fields);
-  // It stands in a host's field list as it is: what would end the field there cannot be passed on.
-  const std::string& key = field(*fields, "replay");
-  if (key.find_first_of(" ,=\r\n") != std::string::npos)
-    return reject(client, tag, core::Counter::resp_bad_fields);
-  // A figure that is there can be read; the core knows which ones can be used.
-  const auto effort = net::parse_number(field(*fields, "effort")),
-             memory = net::parse_number(field(*spec, "memory_mb"));
-  const auto lanes = net::parse_whole(field(*spec, "lanes"), INT32_MAX);
-  if ((!effort && fields->count("effort") != 0) || (!memory && spec->count("memory_mb") != 0) ||
-      (!lanes && spec->count("lanes") != 0)) {
-    return reject(client, tag, core::Counter::resp_bad_fields);
+  auto decoded = decode_call(words);
+  if (const auto* const error = std::get_if<RequestError>(&decoded)) {
+    return reject(client, tag, counter_of(*error));
   }
-  const std::size_t size = words.size() > 4 ? words[4].size() : 0;
+  auto& call = std::get<core::Call>(decoded);
+  const std::size_t body_bytes = call.body.size();
   // Bounds memory: a client of any number of connections may hold only so much of it.
-  if (bodies_ + size > limits_.body_bytes) {
+  if (bodies_ + body_bytes > limits_.body_bytes) {
     return reject(client, tag, core::Counter::resp_no_memory, core::Verdict::refused);
   }
-
-  core::Call call;
-  call.ref = field(*fields, "ref");
-  call.class_name = words[2];
-  call.tenant = field(*fields, "project");
-  call.function_name = field(*fields, "lookup");
-  call.function = *function;
-  call.idempotency_key = key;
-  call.effort = effort;
-  call.retry = field(*fields, "dup") == "1";
-  call.memory_mb = memory.value_or(0);
-  call.lanes = static_cast<int>(lanes.value_or(1));
   call.arrived = client.arrival_of_input();
-  call.allow = core::Millis(static_cast<double>(*allow));
-  if (size > 0) call.body = std::move(words[4]);
 
   const core::CallId id = dispatcher_.next_id();
-  by_call_[id] = {&client, tag, size};
+  by_call_[id] = {&client, tag, body_bytes};
   client.open_calls[tag] = id;
-  bodies_ += size;
+  bodies_ += body_bytes;
   if (!dispatcher_.take(id, std::move(call), *this)) {
-    unfile(id);
+    remove_call(id);
     reject(client, tag, core::Counter::resp_not_taken);
   }
 }
 
-// Danger: a client that sends the same again as soon as it is turned away would do so for ever.
+// The faults of a connection are bounded: a client that repeats a rejected call at once would do so for ever.
 void Front::reject(Client& client, const std::string& tag, core::Counter why, core::Verdict verdict) {
   counters_.add(why);
-  say(client, tag, verdict, core::Millis(0), {});
-  if (++client.faults <= kFaultsMost) return;
+  reply(client, tag, {verdict, core::Millis(0), {}});
+  if (++client.faults <= kMaxRejectedCalls) return;
   counters_.add(core::Counter::resp_faults_closed);
   client.reject_input();
 }
 
-void Front::say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
-                std::string_view body) {
-  std::string out;
-  if (verdict == core::Verdict::served) {
-    write_array(out, {tag, "OK", "", body});
-  } else {
-    const char* const name = verdict == core::Verdict::refused ? "BUSY" : "FAILED";
-    const auto wait = static_cast<std::int64_t>(std::ceil(std::max(cooldown.count(), 0.0)));
-    if (wait > 0) {
-      write_array(out, {tag, name, "cooldown=" + std::to_string(wait)});
-    } else {
-      write_array(out, {tag, name});
-    }
-  }
-  client.write(out);
+void Front::reply(Client& client, const std::string& tag, const core::Answer& answer) {
+  client.write(encode_answer(tag, answer));
   // Guards the pool against a client that does not read. What it has open adds a bounded number of answers.
-  if (client.outbox().appended() - client.outbox().written() <= kUnreadMost || client.discards_input())
-    return;
+  const std::size_t unread = client.outbox().appended() - client.outbox().written();
+  if (unread <= kMaxUnreadBytes || client.discards_input()) return;
   counters_.add(core::Counter::resp_unread_closed);
   client.reject_input();
 }
 
-void Front::say_check(Client& client, const std::string& tag) const {
-  std::string out;
-  write_array(out, {tag, draining_ ? "DOWN" : "UP"});
-  client.write(out);
+void Front::reply_health(Client& client, const std::string& tag) const {
+  client.write(encode_health(tag, draining_));
 }
 
 // Gives the call up before its deadline.
 void Front::fail_open_call(Client& client, core::CallId call) {
   const std::string tag = by_call_.at(call).tag;
-  unfile(call);
+  remove_call(call);
   dispatcher_.leave(call);
-  say(client, tag, core::Verdict::failed, core::Millis(0), {});
+  reply(client, tag, {});
 }
 
 void Front::fail_open_calls(Client& client) {
@@ -423,13 +389,13 @@
 void Front::answer(core::CallId call, core::Answer&& answer) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end()) return;  // cancelled, or its client has gone
-  const Filed filed = found->second;
-  unfile(call);
-  say(*filed.client, filed.tag, answer.verdict, answer.cooldown, answer.body);
-  if (filed.client->open_calls.empty()) filed.client->all_answered();
+  const OpenCall open = found->second;
+  remove_call(call);
+  reply(*open.client, open.tag, answer);
+  if (open.client->open_calls.empty()) open.client->all_answered();
 }
 
-void Front::unfile(core::CallId call) {
+void Front::remove_call(core::CallId call) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end()) return;
   bodies_ -= found->second.body_bytes;
@@ -437,13 +403,13 @@
   by_call_.erase(found);
 }
 
-void Front::gone(Client& client) {
+void Front::on_closed(Client& client) {
   const std::shared_ptr<Client> kept = *client.place;
   client.list->erase(client.place);
   std::vector<core::CallId> left;
   for (const auto& [tag, id] : client.open_calls) left.push_back(id);
   std::sort(left.begin(), left.end());
-  for (const auto id : left) unfile(id);
+  for (const auto id : left) remove_call(id);
   for (const auto id : left) dispatcher_.leave(id);
   loop_.defer_destruction(kept);
   resume_listening();
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -47,13 +47,13 @@
   bool reading() const;  // a request has come in part
   /// Begins to end all connections: each is sent what waits to be written, and nothing more is read from it.
   void close_connections();
-  bool closed() const { return clients_.empty() && newcomers_.empty() && closing_.empty(); }
+  bool closed() const { return clients_.empty() && pending_.empty() && closing_.empty(); }
 
   void answer(core::CallId call, core::Answer&& answer) override;
 
  private:
   class Client;
-  struct Filed {
+  struct OpenCall {
     Client* client;
     std::string tag;
     std::size_t body_bytes;
@@ -66,9 +66,9 @@
   net::Socket listener_;
   std::error_code listen_error_;
   using Clients = std::list<std::shared_ptr<Client>>;
-  Clients clients_, newcomers_;  // the one longest unheard first
-  Clients closing_;              // the one closing for longest first
-  std::unordered_map<core::CallId, Filed> by_call_;
+  Clients clients_, pending_;  // the one longest unheard first
+  Clients closing_;            // the one closing for longest first
+  std::unordered_map<core::CallId, OpenCall> by_call_;
   std::size_t bodies_ = 0;
   bool draining_ = false;
   bool paused_ = false;  // the listener is not watched until `accept_timer_` rings or a client goes
@@ -77,25 +77,25 @@
   std::optional<core::Millis> waiting_since_;  // since when connections may wait to be accepted
 
   void ready(short events) override;
-  bool promote(Client& client);
+  bool activate(Client& client);
   void close(Client& client);
-  void turn_away(Client& client, const std::vector<Words>& commands);
-  void bound_newcomers();
+  void refuse_connection(Client& client, const std::vector<Words>& commands);
+  void limit_pending();
   net::AcceptStatus accept_some();
-  void shed(std::shared_ptr<Client> client, core::Counter why);
+  void evict(std::shared_ptr<Client> client, core::Counter why);
   void pause_listening();
   void resume_listening();
   void take(Client& client, Words&& words);
-  void call(Client& client, Words&& words);
+  void call(Client& client, const std::string& tag, Words&& words);
+  void cancel(Client& client, const std::string& tag);
   void reject(Client& client, const std::string& tag, core::Counter why,
               core::Verdict verdict = core::Verdict::failed);
-  void say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
-           std::string_view body);
-  void say_check(Client& client, const std::string& tag) const;
+  void reply(Client& client, const std::string& tag, const core::Answer& answer);
+  void reply_health(Client& client, const std::string& tag) const;
   void fail_open_call(Client& client, core::CallId call);
   void fail_open_calls(Client& client);
-  void unfile(core::CallId call);
-  void gone(Client& client);
+  void remove_call(core::CallId call);
+  void on_closed(Client& client);
 };
 
 }  // namespace pathstack::resp
--- /dev/null
+++ b/src/resp/request_decoder.cpp
@@ -0,0 +1,89 @@
+#include "resp/request_decoder.h"
+
+#include <cstdint>
+#include <optional>
+#include <utility>
+
+#include "net/fields.h"
+
+namespace pathstack::resp {
+namespace {
+
+using net::field;
+using net::Fields;
+
+constexpr std::uint64_t kMaxTimeoutMs = std::uint64_t{3600} * 1000;
+constexpr std::size_t kClassWord = 2, kFieldsWord = 3, kBodyWord = 4;
+// What ends a field, or the line, on a worker's connection, where the idempotency key is passed on unchanged.
+constexpr char kFieldTerminators[] = " ,=\r\n";
+
+std::optional<RequestKind> kind_of(const std::string& verb) {
+  if (verb == "CALL") return RequestKind::call;
+  if (verb == "CANCEL") return RequestKind::cancel;
+  if (verb == "CHECK") return RequestKind::check;
+  return std::nullopt;
+}
+
+bool has_field(const Fields& fields, std::string_view name) { return fields.find(name) != fields.end(); }
+
+std::optional<RequestError> decode_identity(const Fields& fields, core::Call& call) {
+  call.ref = field(fields, "ref");
+  if (!net::parse_hex16(call.ref)) return RequestError::bad_ref;
+  call.function_name = field(fields, "lookup");
+  const auto function = net::parse_hex16(call.function_name);
+  if (!function) return RequestError::bad_function;
+  call.function = *function;
+  call.idempotency_key = field(fields, "replay");
+  const bool terminated = call.idempotency_key.find_first_of(kFieldTerminators) != std::string::npos;
+  if (terminated) return RequestError::bad_idempotency_key;
+  call.tenant = field(fields, "project");
+  call.retry = field(fields, "dup") == "1";
+  return std::nullopt;
+}
+
+std::optional<RequestError> decode_figures(const Fields& fields, core::Call& call) {
+  const auto timeout = net::parse_whole(field(fields, "allow"), kMaxTimeoutMs);
+  if (!timeout) return RequestError::bad_timeout;
+  call.allow = core::Millis(static_cast<double>(*timeout));
+  call.effort = net::parse_number(field(fields, "effort"));
+  if (!call.effort && has_field(fields, "effort")) return RequestError::bad_effort;
+  return std::nullopt;
+}
+
+std::optional<RequestError> decode_resources(const std::string& text, core::Call& call) {
+  const auto resources = net::parse_fields(text, ';', ':');
+  if (!resources) return RequestError::bad_resources;
+  const auto memory = net::parse_number(field(*resources, "memory_mb"));
+  if (!memory && has_field(*resources, "memory_mb")) return RequestError::bad_resources;
+  const auto slots = net::parse_whole(field(*resources, "lanes"), INT32_MAX);
+  if (!slots && has_field(*resources, "lanes")) return RequestError::bad_resources;
+  call.memory_mb = memory.value_or(0);
+  call.lanes = static_cast<int>(slots.value_or(1));
+  return std::nullopt;
+}
+
+}  // namespace
+
+std::variant<RequestHeader, RequestError> decode_header(const Words& words) {
+  if (words.size() < 2) return RequestError::bad_tag;
+  const auto tag = net::parse_whole(words[1], UINT64_MAX);
+  if (!tag || *tag == 0) return RequestError::bad_tag;
+  const auto kind = kind_of(words[0]);
+  if (!kind) return RequestError::unknown_verb;
+  return RequestHeader{*kind, words[1]};
+}
+
+std::variant<core::Call, RequestError> decode_call(Words& words) {
+  if (words.size() <= kFieldsWord || words.size() > kBodyWord + 1) return RequestError::wrong_word_count;
+  const auto fields = net::parse_fields(words[kFieldsWord]);
+  if (!fields) return RequestError::bad_field_list;
+  core::Call call;
+  call.class_name = words[kClassWord];
+  if (const auto error = decode_identity(*fields, call)) return *error;
+  if (const auto error = decode_figures(*fields, call)) return *error;
+  if (const auto error = decode_resources(field(*fields, "spec"), call)) return *error;
+  if (words.size() > kBodyWord) call.body = std::move(words[kBodyWord]);
+  return call;
+}
+
+}  // namespace pathstack::resp
