--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -11,18 +11,9 @@
 namespace pathstack::resp {
 namespace {
 
-constexpr std::size_t kAcceptsATurn = 64;
-constexpr int kMaxAcceptTurnsAtStop = 16;  // of kAcceptsATurn each: more than the kernel's queue holds
-// Calls may wait on connections that the kernel has accepted already, so the pause is short.
-constexpr core::Millis kMinAcceptBackoff{5}, kMaxAcceptBackoff{20};
 constexpr std::size_t kMaxRejectedCalls = 64;      // of one connection
 constexpr std::size_t kMaxUnreadBytes = 1U << 20;  // answers that a client has not read
 
-// False: the next accept has to wait for a connection, or for a descriptor.
-bool may_have_more(net::AcceptStatus status) {
-  return status == net::AcceptStatus::accepted || status == net::AcceptStatus::connection_failed;
-}
-
 core::Counter counter_of(RequestError error) {
   if (error == RequestError::bad_tag) return core::Counter::resp_no_tag;
   if (error == RequestError::unknown_verb) return core::Counter::resp_unknown_verb;
@@ -147,31 +138,16 @@
 
 Front::Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
              Limits limits)
-    : loop_(loop), pool_(pool), dispatcher_(dispatcher), counters_(counters), limits_(limits) {}
-
-Front::~Front() {
-  loop_.cancel(accept_timer_);
-  if (listener_) loop_.forget(listener_.fd(), *this);
-}
+    : loop_(loop),
+      pool_(pool),
+      dispatcher_(dispatcher),
+      counters_(counters),
+      limits_(limits),
+      listener_(loop, counters, *this) {}
 
 bool Front::listen(const std::string& address) {
-  net::ListenResult result = net::listen_on(address);
-  listener_ = std::move(result.socket);
-  listen_error_ = result.error;
-  if (listener_) loop_.watch(listener_.fd(), *this, POLLIN);
-  return static_cast<bool>(listener_);
-}
-
-// A connection that the kernel has accepted may hold a whole request, which a close here would lose.
-bool Front::stop_listening() {
-  if (!listener_) return true;
-  auto status = net::AcceptStatus::accepted;
-  for (int i = 0; i < kMaxAcceptTurnsAtStop && may_have_more(status); ++i) status = accept_some();
-  if (status != net::AcceptStatus::none_waiting) return false;
-  loop_.cancel(accept_timer_);
-  loop_.forget(listener_.fd(), *this);
-  listener_.close();
-  return true;
+  listen_error_ = listener_.listen(address);
+  return !listen_error_;
 }
 
 bool Front::written() const {
@@ -247,48 +223,13 @@
   if (!oldest->asked && !oldest->ending()) evict(oldest, core::Counter::resp_silent_closed);
 }
 
-void Front::ready(short) { accept_some(); }
-
-// Gives the status of its last accept.
-net::AcceptStatus Front::accept_some() {
-  auto status = net::AcceptStatus::accepted;
-  for (std::size_t i = 0; i < kAcceptsATurn && may_have_more(status); ++i) {
-    net::AcceptResult result = net::accept_from(listener_);
-    status = result.status;
-    if (status == net::AcceptStatus::connection_failed) counters_.add(core::Counter::resp_accept_failed);
-    if (status != net::AcceptStatus::accepted) continue;
-    counters_.add(core::Counter::resp_connections);
-    accept_backoff_ = core::Millis(0);
-    pending_.push_back(std::make_shared<Client>(*this, std::move(result.socket)));
-    pending_.back()->place = std::prev(pending_.end());
-    pending_.back()->list = &pending_;
-    if (waiting_since_) pending_.back()->waited_since(*waiting_since_);
-    limit_pending();
-  }
-  if (status == net::AcceptStatus::none_waiting) waiting_since_.reset();
-  if (status == net::AcceptStatus::retry_later) {
-    counters_.add(core::Counter::resp_no_descriptor);
-    pause_listening();
-  }
-  return status;
-}
-
-// A listener that stays readable would spin the loop. The shortage may be the machine's, with no client here
-// that could end it: a timer resumes, or the next client that goes.
-void Front::pause_listening() {
-  if (paused_) return;
-  paused_ = true;
-  if (!waiting_since_) waiting_since_ = loop_.turn_began();
-  loop_.forget(listener_.fd(), *this);
-  accept_backoff_ = std::min(std::max(accept_backoff_ * 2, kMinAcceptBackoff), kMaxAcceptBackoff);
-  accept_timer_ = loop_.at(loop_.now() + accept_backoff_, [this] { resume_listening(); });
-}
-
-void Front::resume_listening() {
-  if (!paused_ || !listener_) return;
-  paused_ = false;
-  loop_.cancel(accept_timer_);
-  loop_.watch(listener_.fd(), *this, POLLIN);
+void Front::on_accepted(net::Socket socket, std::optional<core::Millis> waiting_since) {
+  pending_.push_back(std::make_shared<Client>(*this, std::move(socket)));
+  Client& client = *pending_.back();
+  client.place = std::prev(pending_.end());
+  client.list = &pending_;
+  if (waiting_since) client.waited_since(*waiting_since);
+  limit_pending();
 }
 
 void Front::take(Client& client, Words&& words) {
@@ -412,7 +353,7 @@
   for (const auto id : left) remove_call(id);
   for (const auto id : left) dispatcher_.leave(id);
   loop_.defer_destruction(kept);
-  resume_listening();
+  listener_.resume();
 }
 
 }  // namespace pathstack::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -13,11 +13,12 @@
 #include "net/loop.h"
 #include "net/socket.h"
 #include "net/stream.h"
+#include "resp/listener.h"
 #include "resp/parser.h"
 
 namespace pathstack::resp {
 
-class Front final : public core::Front, private net::Handler {
+class Front final : public core::Front, private ListenerObserver {
  public:
   struct Limits {
     std::size_t clients = 256, newcomers = 64;  // connections that have asked something, and not yet
@@ -32,16 +33,14 @@
   };
   Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
         Limits limits);
-  ~Front() override;
 
   /// False if it failed, by `listen_error`; may be called again then.
   bool listen(const std::string& address);
   const std::error_code& listen_error() const { return listen_error_; }
-  std::string address() const { return net::bound_address(listener_); }
+  std::string address() const { return listener_.address(); }
   void drain() { draining_ = true; }  // CHECK says DOWN from now on; calls are still taken
-  /// Accepts what waits in the kernel's queue, then closes the listener. False while connections that cannot
-  /// be accepted yet may wait there: to be called again.
-  bool stop_listening();
+  /// As `Listener::stop`.
+  bool stop_listening() { return listener_.stop(); }
   std::size_t open_calls() const { return by_call_.size(); }
   bool written() const;  // nothing waits to be written
   bool reading() const;  // a request has come in part
@@ -63,7 +62,7 @@
   core::Dispatcher& dispatcher_;
   core::Counters& counters_;
   Limits limits_;
-  net::Socket listener_;
+  Listener listener_;
   std::error_code listen_error_;
   using Clients = std::list<std::shared_ptr<Client>>;
   Clients clients_, pending_;  // the one longest unheard first
@@ -71,20 +70,13 @@
   std::unordered_map<core::CallId, OpenCall> by_call_;
   std::size_t bodies_ = 0;
   bool draining_ = false;
-  bool paused_ = false;  // the listener is not watched until `accept_timer_` rings or a client goes
-  net::Loop::TimerId accept_timer_{};
-  core::Millis accept_backoff_{0};
-  std::optional<core::Millis> waiting_since_;  // since when connections may wait to be accepted
 
-  void ready(short events) override;
+  void on_accepted(net::Socket socket, std::optional<core::Millis> waiting_since) override;
   bool activate(Client& client);
   void close(Client& client);
   void refuse_connection(Client& client, const std::vector<Words>& commands);
   void limit_pending();
-  net::AcceptStatus accept_some();
   void evict(std::shared_ptr<Client> client, core::Counter why);
-  void pause_listening();
-  void resume_listening();
   void take(Client& client, Words&& words);
   void call(Client& client, const std::string& tag, Words&& words);
   void cancel(Client& client, const std::string& tag);
