--- /dev/null
+++ b/src/resp/connection_table.cpp
@@ -0,0 +1,84 @@
+#include "resp/connection_table.h"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+#include <vector>
+
+namespace pathstack::resp {
+namespace {
+
+bool is_written(const std::shared_ptr<Connection>& connection) { return connection->outbox().empty(); }
+bool is_reading(const std::shared_ptr<Connection>& connection) { return connection->is_reading(); }
+bool is_idle(const std::shared_ptr<Connection>& connection) { return connection->is_idle(); }
+
+}  // namespace
+
+void ConnectionTable::add_pending(std::shared_ptr<Connection> connection) {
+  pending_.push_back(std::move(connection));
+  pending_.back()->position_ = std::prev(pending_.end());
+  pending_.back()->list_ = &pending_;
+  if (pending_.size() <= limits_.newcomers) return;
+  const std::shared_ptr<Connection> oldest = pending_.front();
+  oldest->ready(POLLIN);
+  if (oldest->has_sent_request() || oldest->ending()) return;
+  evict(*oldest, core::Counter::resp_silent_closed);
+}
+
+bool ConnectionTable::activate(Connection& connection) {
+  move_to_back(active_, connection);
+  if (active_.size() <= limits_.clients) return true;
+  const auto self = std::prev(active_.end());
+  const auto found = std::find_if(active_.begin(), self, is_idle);
+  if (found == self) return false;
+  const std::shared_ptr<Connection> idle = *found;
+  evict(*idle, core::Counter::resp_idle_closed);
+  return true;
+}
+
+void ConnectionTable::begin_closing(Connection& connection) {
+  move_to_back(closing_, connection);
+  if (closing_.size() <= std::max<std::size_t>(limits_.closing, 1)) return;
+  counters_.add(core::Counter::resp_linger_cut);
+  const std::shared_ptr<Connection> oldest = closing_.front();
+  oldest->end_later();
+  oldest->flush();
+}
+
+std::shared_ptr<Connection> ConnectionTable::remove(Connection& connection) {
+  std::shared_ptr<Connection> removed = *connection.position_;
+  connection.list_->erase(connection.position_);
+  return removed;
+}
+
+void ConnectionTable::reject_all_input() {
+  std::vector<std::shared_ptr<Connection>> open(active_.begin(), active_.end());
+  open.insert(open.end(), pending_.begin(), pending_.end());
+  for (const auto& connection : open) connection->reject_input();
+}
+
+bool ConnectionTable::all_written() const {
+  return std::all_of(active_.begin(), active_.end(), is_written) &&
+         std::all_of(closing_.begin(), closing_.end(), is_written);
+}
+
+bool ConnectionTable::any_reading() const {
+  return std::any_of(active_.begin(), active_.end(), is_reading) ||
+         std::any_of(pending_.begin(), pending_.end(), is_reading);
+}
+
+void ConnectionTable::move_to_back(ConnectionList& list, Connection& connection) {
+  list.splice(list.end(), *connection.list_, connection.position_);
+  connection.list_ = &list;
+}
+
+// The caller holds a reference: the connection may leave its list at once.
+void ConnectionTable::evict(Connection& connection, core::Counter reason) {
+  counters_.add(reason);
+  connection.close();
+  connection.flush();
+}
+
+}  // namespace pathstack::resp
