--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::resp {
 namespace {
 
-constexpr std::size_t kLongestHeader = 12;  // a sign and more digits than any length allowed here has
+constexpr std::size_t kMaxHeaderBytes = 12;  // a sign and more digits than any length allowed here has
 
 }  // namespace
 
@@ -20,12 +20,12 @@
 
 bool Parser::header_line(std::vector<Words>& out) {
   if (state_ == State::array) {
-    if (!header('*', most_words, words_left_) || words_left_ == 0) return false;
+    if (!header('*', kMaxWords, words_left_) || words_left_ == 0) return false;
     words_.clear();
-    message_left_ = longest_message;
+    message_left_ = kMaxMessageBytes;
     state_ = State::bulk;
   } else if (state_ == State::bulk) {
-    if (!header('$', std::min(longest_word, message_left_), bytes_left_)) return false;
+    if (!header('$', std::min(kMaxWordBytes, message_left_), bytes_left_)) return false;
     message_left_ -= bytes_left_;
     words_.emplace_back();
     state_ = State::data;
@@ -46,7 +46,7 @@
 }
 
 bool Parser::take(std::string_view bytes, std::vector<Words>& out) {
-  while (!bytes.empty() && state_ != State::spoilt) {
+  while (!bytes.empty() && state_ != State::malformed) {
     if (state_ == State::data) {
       const std::size_t part = std::min(bytes_left_, bytes.size());
       words_.back().append(bytes.substr(0, part));
@@ -59,18 +59,18 @@
     bytes.remove_prefix(1);
     if (return_seen_) {
       return_seen_ = false;
-      if (c != '\n' || !header_line(out)) state_ = State::spoilt;
+      if (c != '\n' || !header_line(out)) state_ = State::malformed;
       line_.clear();
       if (state_ == State::data && bytes_left_ == 0) state_ = State::data_end;
     } else if (c == '\r') {
       return_seen_ = true;
-    } else if (state_ == State::data_end || line_.size() >= kLongestHeader) {
-      state_ = State::spoilt;  // a word past its length, or a header that would grow without end
+    } else if (state_ == State::data_end || line_.size() >= kMaxHeaderBytes) {
+      state_ = State::malformed;  // a word past its length, or a header that would grow without end
     } else {
       line_.push_back(c);
     }
   }
-  return state_ != State::spoilt;
+  return state_ != State::malformed;
 }
 
 void write_array(std::string& out, const std::vector<std::string_view>& words) {
--- a/tests/invoker/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -28,7 +28,7 @@
     std::vector<resp::Words> sent(1 + below(random, 4));
     std::string bytes;
     for (auto& words : sent) {
-      words.resize(1 + below(random, resp::Parser::most_words));
+      words.resize(1 + below(random, resp::Parser::kMaxWords));
       for (auto& word : words) word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
     }
