--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,13 +1,13 @@
 #include "policy/admission.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 
 namespace pathstack::policy::test {
 namespace {
 
-class AdmissionTest : public ::testing::Test {
+class AdmissionTest {
  protected:
   AdmissionTest() {
     for (int i = 0; i < 10; ++i) parts.times.record_run(function.times, 0, 100);
@@ -22,23 +22,26 @@
   Request& request = parts.add_request("x", function);
 };
 
-TEST_F(AdmissionTest, ARequestMustStillHaveTheTimeOfARun) {
-  EXPECT_TRUE(parts.admission.can_meet_objective(request, request.objective_at - Millis(100)));
-  EXPECT_FALSE(parts.admission.can_meet_objective(request, request.objective_at - Millis(99)));
-  EXPECT_FALSE(parts.admission.is_worth_queueing(request, request.objective_at));
+TEST_CASE_METHOD(AdmissionTest, "Admission: a request must still have the time of a run", "[admission]") {
+  CHECK(parts.admission.can_meet_objective(request, request.objective_at - Millis(100)));
+  CHECK_FALSE(parts.admission.can_meet_objective(request, request.objective_at - Millis(99)));
+  CHECK_FALSE(parts.admission.is_worth_queueing(request, request.objective_at));
 }
 
-TEST_F(AdmissionTest, WhereLateAnswersKeepTheirWorthRequestsWait) {
+TEST_CASE_METHOD(AdmissionTest, "Admission: where late answers keep their worth requests wait",
+                 "[admission]") {
   parts.settings.classes[0].late_worth = 0.5;
-  EXPECT_TRUE(parts.admission.is_worth_queueing(request, request.objective_at));
+  CHECK(parts.admission.is_worth_queueing(request, request.objective_at));
 }
 
-TEST_F(AdmissionTest, ASlowdownByChanceKeepsNothingBack) {
+TEST_CASE_METHOD(AdmissionTest, "Admission: a slowdown by chance keeps nothing back", "[admission]") {
   slow_down(1.9);
-  EXPECT_TRUE(parts.admission.is_worth_sending(request, worker, request.objective_at));
+  CHECK(parts.admission.is_worth_sending(request, worker, request.objective_at));
 }
 
-TEST_F(AdmissionTest, TheLowerThePriorityWeightTheShorterTheWaitThatIsAccepted) {
+TEST_CASE_METHOD(AdmissionTest,
+                 "Admission: the lower the priority weight the shorter the wait that is accepted",
+                 "[admission]") {
   parts.settings.classes[0].worth = 1;
   parts.settings.classes[1].worth = 16;
   parts.settings.worth_by_work = true;
@@ -46,20 +49,20 @@
   for (int i = 0; i < 10; ++i) parts.times.record_run(worthier_function.times, 1, 100);
   Request& worthier = parts.add_request("y", worthier_function);
   slow_down(6);  // a wait of 400 ms; a quarter of the objective is 250 ms
-  EXPECT_FALSE(parts.admission.is_worth_sending(request, worker, parts.now));
-  EXPECT_TRUE(parts.admission.is_worth_sending(worthier, worker, parts.now));
+  CHECK_FALSE(parts.admission.is_worth_sending(request, worker, parts.now));
+  CHECK(parts.admission.is_worth_sending(worthier, worker, parts.now));
 }
 
-TEST_F(AdmissionTest, NextIsTheFirstThatIsStillInTime) {
+TEST_CASE_METHOD(AdmissionTest, "Admission: next is the first that is still in time", "[admission]") {
   Request& late = request;
   Request& in_time = parts.add_request("y", function, 8000, 5000);
-  EXPECT_EQ(parts.admission.next_in_queue(function, parts.now), &late);
-  EXPECT_EQ(parts.admission.next_in_queue(function, late.objective_at), &in_time);
+  CHECK(parts.admission.next_in_queue(function, parts.now) == &late);
+  CHECK(parts.admission.next_in_queue(function, late.objective_at) == &in_time);
   in_time.not_before = Millis(1e9);
-  EXPECT_EQ(parts.admission.next_in_queue(function, late.objective_at), &late);
+  CHECK(parts.admission.next_in_queue(function, late.objective_at) == &late);
   parts.requests.dequeue(late);
   parts.requests.dequeue(in_time);
-  EXPECT_EQ(parts.admission.next_in_queue(function, parts.now), nullptr);
+  CHECK(parts.admission.next_in_queue(function, parts.now) == nullptr);
 }
 
 }  // namespace
--- a/tests/policy/load_order_budget_test.cpp
+++ b/tests/policy/load_order_budget_test.cpp
@@ -1,11 +1,11 @@
 #include "policy/load_order_budget.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 namespace pathstack::policy::test {
 namespace {
 
-class LoadOrderBudgetTest : public ::testing::Test {
+class LoadOrderBudgetTest {
  protected:
   LoadOrderBudgetTest() {
     settings.load_window = Millis(5000);
@@ -22,30 +22,35 @@
   LoadOrderBudget budget{settings};
 };
 
-TEST_F(LoadOrderBudgetTest, IsAFloorAndARatioOfTheRequestsOfTheWindow) {
-  EXPECT_EQ(orders_allowed(Millis(0)), 2);
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: is a floor and a ratio of the requests of the window",
+                 "[load-order-budget]") {
+  CHECK(orders_allowed(Millis(0)) == 2);
   for (int i = 0; i < 30; ++i) budget.request_arrived(Millis(1000));
-  EXPECT_EQ(orders_allowed(Millis(1000)), 3);
+  CHECK(orders_allowed(Millis(1000)) == 3);
 }
 
-TEST_F(LoadOrderBudgetTest, FillsAsOrdersLeaveTheWindow) {
-  EXPECT_EQ(orders_allowed(Millis(0)), 2);
-  EXPECT_EQ(orders_allowed(Millis(5000)), 0) << "the window's end counts";
-  EXPECT_EQ(orders_allowed(Millis(5001)), 2);
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: fills as orders leave the window",
+                 "[load-order-budget]") {
+  CHECK(orders_allowed(Millis(0)) == 2);
+  UNSCOPED_INFO("the window's end counts");
+  CHECK(orders_allowed(Millis(5000)) == 0);
+  CHECK(orders_allowed(Millis(5001)) == 2);
 }
 
-TEST_F(LoadOrderBudgetTest, AnOrderThatWasNotSentCountsForNothing) {
-  EXPECT_EQ(orders_allowed(Millis(7)), 2);
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: an order that was not sent counts for nothing",
+                 "[load-order-budget]") {
+  CHECK(orders_allowed(Millis(7)) == 2);
   budget.order_not_sent(Millis(7));
-  EXPECT_EQ(orders_allowed(Millis(8)), 1);
+  CHECK(orders_allowed(Millis(8)) == 1);
   budget.order_not_sent(Millis(999));
-  EXPECT_EQ(orders_allowed(Millis(8)), 0);
+  CHECK(orders_allowed(Millis(8)) == 0);
 }
 
-TEST_F(LoadOrderBudgetTest, HasNoLimitWithoutAWindow) {
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: has no limit without a window",
+                 "[load-order-budget]") {
   settings.load_window = Millis(0);
   for (int i = 0; i < 1000; ++i) budget.order_sent(Millis(0));
-  EXPECT_TRUE(budget.allows_order(Millis(0)));
+  CHECK(budget.allows_order(Millis(0)));
 }
 
 }  // namespace
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/load_reports.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 #include "policy/gossip.h"
@@ -16,28 +16,28 @@
   return settings;
 }
 
-TEST(LoadReports, AQueueIsBetterThanWhatIsInFlight) {
+TEST_CASE("LoadReports: a queue is better than what is in flight", "[load-reports]") {
   Settings settings = test::settings();
   settings.report_fields = {ReportField::queue, ReportField::inflight};
   Parts parts(settings);
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.reports.record(worker, std::vector<double>{3, 50}, parts.now);
-  EXPECT_EQ(parts.reports.waiting(worker), 3);
-  EXPECT_EQ(parts.reports.reported_at(worker), parts.now);
+  CHECK(parts.reports.waiting(worker) == 3);
+  CHECK(parts.reports.reported_at(worker) == parts.now);
 }
 
-TEST(LoadReports, OfWhatIsInFlightSomeAreInService) {
+TEST_CASE("LoadReports: of what is in flight some are in service", "[load-reports]") {
   Parts parts(with_peers());
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.reports.record(worker, std::vector<double>{10, 99}, parts.now);
-  EXPECT_EQ(parts.reports.waiting(worker), 6);
+  CHECK(parts.reports.waiting(worker) == 6);
   parts.reports.record(worker, std::vector<double>{1}, parts.now);
-  EXPECT_EQ(parts.reports.waiting(worker), 0);
+  CHECK(parts.reports.waiting(worker) == 0);
   parts.reports.record(worker, std::nullopt, parts.now + Millis(5));
-  EXPECT_EQ(parts.reports.reported_at(worker), parts.now);
+  CHECK(parts.reports.reported_at(worker) == parts.now);
 }
 
-TEST(LoadReports, OnesOwnArePassedOnAndThoseOfPeersAreNot) {
+TEST_CASE("LoadReports: one's own are passed on and those of peers are not", "[load-reports]") {
   Parts parts(with_peers());
   const WorkerIndex own = parts.add_worker(entry("a"));
   const WorkerIndex received = parts.add_worker(entry("b"));
@@ -46,20 +46,20 @@
   parts.reports.exchange(parts.now);
   parts.reports.exchange(parts.now + Millis(2000));
   const auto messages = parts.emitted_of<action::Tell>();
-  ASSERT_EQ(messages.size(), 1U);
+  REQUIRE(messages.size() == 1U);
   const auto records = parse_gossip(messages[0].text);
-  ASSERT_EQ(records.size(), 2U);
-  EXPECT_EQ(records[1].tag, worker_tag(parts.workers[own].hash));
-  EXPECT_EQ(records[1].value, 6);
+  REQUIRE(records.size() == 2U);
+  CHECK(records[1].tag == worker_tag(parts.workers[own].hash));
+  CHECK(records[1].value == 6);
 }
 
-TEST(LoadReports, ABusyInvokerCountsItsShare) {
+TEST_CASE("LoadReports: a busy invoker counts its share", "[load-reports]") {
   Parts parts(with_peers());
-  EXPECT_EQ(parts.reports.own_share(parts.now), 1);
+  CHECK(parts.reports.own_share(parts.now) == 1);
   parts.reports.record_peer_calls(10);
   for (int i = 0; i < 20; ++i) parts.reports.request_arrived(parts.now);
-  EXPECT_DOUBLE_EQ(parts.reports.own_share(parts.now), 2);
-  EXPECT_DOUBLE_EQ(parts.reports.own_share(parts.now + Millis(1e6)), 0.1);
+  CHECK_THAT(parts.reports.own_share(parts.now), Catch::Matchers::WithinULP(2.0, 4));
+  CHECK_THAT(parts.reports.own_share(parts.now + Millis(1e6)), Catch::Matchers::WithinULP(0.1, 4));
 }
 
 }  // namespace
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -1,13 +1,13 @@
 #include "policy/outcome_recorder.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 
 namespace pathstack::policy::test {
 namespace {
 
-class OutcomeRecorderTest : public ::testing::Test {
+class OutcomeRecorderTest {
  protected:
   /// An attempt of a new request is out at the worker.
   Request& send() {
@@ -27,7 +27,7 @@
     answer.elapsed = Millis(elapsed);
     answer.warmth = warmth;
     const Attempt* attempt = parts.requests.end_attempt(request, 0, outcome);
-    ASSERT_NE(attempt, nullptr);
+    REQUIRE(attempt != nullptr);
     recorder.record_attempt(request, *attempt, answer, parts.now);
   }
 
@@ -41,82 +41,95 @@
   int requests = 0;
 };
 
-TEST_F(OutcomeRecorderTest, AnAnswerOfALoadedInstanceIsARun) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an answer of a loaded instance is a run",
+                 "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
-  EXPECT_EQ(parts.times.run(function.times), 100);
-  EXPECT_EQ(parts.times.load(function.times), 0);
-  EXPECT_TRUE(function.find_instance(worker)->confirmed);
-  EXPECT_EQ(function.find_instance(worker)->in_flight, 0);
-  EXPECT_EQ(parts.workers[worker].in_flight, 0);
+  CHECK(parts.times.run(function.times) == 100);
+  CHECK(parts.times.load(function.times) == 0);
+  CHECK(function.find_instance(worker)->confirmed);
+  CHECK(function.find_instance(worker)->in_flight == 0);
+  CHECK(parts.workers[worker].in_flight == 0);
 }
 
-TEST_F(OutcomeRecorderTest, AnAnswerThatBeganALoadIsALoad) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an answer that began a load is a load",
+                 "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::ok, 700, Warmth::began);
-  EXPECT_EQ(parts.times.run(function.times), 100);
-  EXPECT_EQ(parts.times.load(function.times), 600);
+  CHECK(parts.times.run(function.times) == 100);
+  CHECK(parts.times.load(function.times) == 600);
 }
 
-TEST_F(OutcomeRecorderTest, WhereAnswersDoNotTellALongOneShowsALoad) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: where answers do not tell a long one shows a load",
+                 "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::ok, 401, Warmth::untold);
-  EXPECT_EQ(parts.times.run(function.times), 100);
+  CHECK(parts.times.run(function.times) == 100);
   end(send(), Outcome::ok, 399, Warmth::untold);
-  EXPECT_GT(parts.times.run(function.times), 100);
+  CHECK(parts.times.run(function.times) > 100);
 }
 
-TEST_F(OutcomeRecorderTest, AMissTellsThatNothingIsLoadedThere) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: a miss tells that nothing is loaded there",
+                 "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::miss, 1);
-  EXPECT_EQ(function.find_instance(worker)->loaded, 0);
-  EXPECT_TRUE(function.missed);
+  CHECK(function.find_instance(worker)->loaded == 0);
+  CHECK(function.missed);
 }
 
-TEST_F(OutcomeRecorderTest, AnAttemptOutForTooLongCountsAsAFailureOnce) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an attempt out for too long counts as a failure once",
+                 "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   Request& lost = send();
   parts.now += Millis(601);
   recorder.find_unanswered(parts.now);
-  EXPECT_TRUE(lost.attempts[0].taken_as_lost);
-  EXPECT_FALSE(parts.outliers.is_usable(worker, parts.now)) << "silent, so ejected";
+  CHECK(lost.attempts[0].taken_as_lost);
+  UNSCOPED_INFO("silent, so ejected");
+  CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   end(lost, Outcome::timeout, 4000);
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 0, parts.now)) << "one failure, not two";
+  UNSCOPED_INFO("one failure, not two");
+  CHECK(parts.outliers.serves_class(worker, 0, parts.now));
 }
 
-TEST_F(OutcomeRecorderTest, AnUnansweredAttemptIsCancelledWhereItMayRunAgain) {
+TEST_CASE_METHOD(OutcomeRecorderTest,
+                 "OutcomeRecorder: an unanswered attempt is cancelled where it may run again",
+                 "[outcome-recorder]") {
   parts.settings.cancel = true;
   end(send(), Outcome::ok, 100);
   const Request& lost = send();
   recorder.find_unanswered(parts.now + Millis(601));
   const auto cancels = parts.emitted_of<action::Cancel>();
-  ASSERT_EQ(cancels.size(), 1U);
-  EXPECT_EQ(cancels[0].id, lost.id);
+  REQUIRE(cancels.size() == 1U);
+  CHECK(cancels[0].id == lost.id);
 }
 
-TEST_F(OutcomeRecorderTest, AnOrderThatFailedIsNotGivenAgainAtOnce) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an order that failed is not given again at once",
+                 "[outcome-recorder]") {
   parts.functions.begin_load(function.instance_at(worker), parts.now);
   recorder.record_order(function, worker, {"a", 1, Outcome::error, Millis(5), 0}, parts.now);
-  EXPECT_EQ(parts.functions.loads_in_flight(), 0);
-  EXPECT_GT(function.no_order_before, parts.now);
-  EXPECT_EQ(function.instance_at(worker).loaded, 0);
+  CHECK(parts.functions.loads_in_flight() == 0);
+  CHECK(function.no_order_before > parts.now);
+  CHECK(function.instance_at(worker).loaded == 0);
 }
 
-TEST_F(OutcomeRecorderTest, AnOrderThatWasAnsweredIsALoadAndConfirmsTheInstance) {
+TEST_CASE_METHOD(OutcomeRecorderTest,
+                 "OutcomeRecorder: an order that was answered is a load and confirms the instance",
+                 "[outcome-recorder]") {
   parts.functions.begin_load(function.instance_at(worker), parts.now);
   recorder.record_order(function, worker, {"a", 1, Outcome::ok, Millis(450), 1}, parts.now);
-  EXPECT_EQ(parts.times.load(function.times), 450);
-  EXPECT_TRUE(parts.functions.is_warm(function.instance_at(worker), parts.now));
-  EXPECT_TRUE(function.instance_at(worker).confirmed);
+  CHECK(parts.times.load(function.times) == 450);
+  CHECK(parts.functions.is_warm(function.instance_at(worker), parts.now));
+  CHECK(function.instance_at(worker).confirmed);
 }
 
-TEST_F(OutcomeRecorderTest, AnAttemptThatWasNotSentChangesNoBelief) {
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an attempt that was not sent changes no belief",
+                 "[outcome-recorder]") {
   Request& request = send();
   function.find_instance(worker)->loaded = 1;  // assumed for this attempt alone
   end(request, Outcome::not_sent, 0);
-  EXPECT_EQ(function.find_instance(worker)->loaded, 0);
-  EXPECT_TRUE(parts.outliers.is_usable(worker, parts.now));
-  EXPECT_TRUE(parts.limits.is_backing_off(worker, parts.now));
-  EXPECT_EQ(parts.times.run(function.times), 0);
+  CHECK(function.find_instance(worker)->loaded == 0);
+  CHECK(parts.outliers.is_usable(worker, parts.now));
+  CHECK(parts.limits.is_backing_off(worker, parts.now));
+  CHECK(parts.times.run(function.times) == 0);
 }
 
 }  // namespace
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/outlier_detector.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 
@@ -13,81 +13,89 @@
   return settings;
 }
 
-TEST(OutlierDetector, TwoFailuresOfAClassEjectItAlone) {
+TEST_CASE("OutlierDetector: two failures of a class eject it alone", "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.record_failure(worker, 0, parts.now);
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 0, parts.now));
+  CHECK(parts.outliers.serves_class(worker, 0, parts.now));
   parts.outliers.record_failure(worker, 0, parts.now);
-  EXPECT_FALSE(parts.outliers.serves_class(worker, 0, parts.now));
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 1, parts.now));
-  EXPECT_TRUE(parts.outliers.is_usable(worker, parts.now));
+  CHECK_FALSE(parts.outliers.serves_class(worker, 0, parts.now));
+  CHECK(parts.outliers.serves_class(worker, 1, parts.now));
+  CHECK(parts.outliers.is_usable(worker, parts.now));
 }
 
-TEST(OutlierDetector, AfterAnEjectionTheClassIsHalfOpenAndARelapseLastsTwiceAsLong) {
+TEST_CASE("OutlierDetector: after an ejection the class is half open and a relapse lasts twice as long",
+          "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.record_failure(worker, 0, parts.now);
   parts.outliers.record_failure(worker, 0, parts.now);
   parts.now += Millis(1000);
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 0, parts.now));
+  CHECK(parts.outliers.serves_class(worker, 0, parts.now));
   parts.workers.attempt_started(worker, true, parts.now);
-  EXPECT_FALSE(parts.outliers.serves_class(worker, 0, parts.now)) << "one attempt at a time";
+  UNSCOPED_INFO("one attempt at a time");
+  CHECK_FALSE(parts.outliers.serves_class(worker, 0, parts.now));
   parts.workers.attempt_ended(worker, true);
   parts.outliers.record_failure(worker, 0, parts.now);
-  EXPECT_FALSE(parts.outliers.serves_class(worker, 0, parts.now + Millis(1999)));
+  CHECK_FALSE(parts.outliers.serves_class(worker, 0, parts.now + Millis(1999)));
   parts.now += Millis(2000);
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 0, parts.now));
+  CHECK(parts.outliers.serves_class(worker, 0, parts.now));
   parts.outliers.record_success(worker, 0, parts.now);
   parts.workers.attempt_started(worker, true, parts.now);
-  EXPECT_TRUE(parts.outliers.serves_class(worker, 0, parts.now)) << "closed again";
+  UNSCOPED_INFO("closed again");
+  CHECK(parts.outliers.serves_class(worker, 0, parts.now));
 }
 
-TEST(OutlierDetector, AWorkerThatAnswersNothingIsSilentAndLoadsAreAllowedFor) {
+TEST_CASE("OutlierDetector: a worker that answers nothing is silent and loads are allowed for",
+          "[outlier-detector]") {
   Settings settings = test::settings();
   settings.routers = 100;
   Parts parts(settings);
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.workers.attempt_started(worker, false, parts.now);
   parts.now += Millis(1000);
-  EXPECT_FALSE(parts.outliers.is_silent(worker, parts.now)) << "all in flight may wait for a load";
+  UNSCOPED_INFO("all in flight may wait for a load");
+  CHECK_FALSE(parts.outliers.is_silent(worker, parts.now));
   parts.workers.attempt_started(worker, true, parts.now);
-  EXPECT_TRUE(parts.outliers.is_silent(worker, parts.now));
-  EXPECT_FALSE(parts.outliers.is_usable(worker, parts.now));
+  CHECK(parts.outliers.is_silent(worker, parts.now));
+  CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   parts.workers.heard_from(worker, parts.now);
-  EXPECT_FALSE(parts.outliers.is_silent(worker, parts.now));
+  CHECK_FALSE(parts.outliers.is_silent(worker, parts.now));
 }
 
-TEST(OutlierDetector, ABrokenConnectionMakesItsWorkerSuspectUntilAProbeIsAnswered) {
+TEST_CASE("OutlierDetector: a broken connection makes its worker suspect until a probe is answered",
+          "[outlier-detector]") {
   Parts parts(with_probes());
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.connection_failed(worker, true, parts.now);
   parts.outliers.connection_failed(worker, true, parts.now);
-  EXPECT_EQ(parts.emitted_of<action::Probe>().size(), 1U);
-  EXPECT_FALSE(parts.outliers.is_usable(worker, parts.now));
+  CHECK(parts.emitted_of<action::Probe>().size() == 1U);
+  CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   parts.outliers.probe_answered(worker);
-  EXPECT_TRUE(parts.outliers.is_usable(worker, parts.now));
-  EXPECT_FALSE(parts.outliers.is_down(worker));
+  CHECK(parts.outliers.is_usable(worker, parts.now));
+  CHECK_FALSE(parts.outliers.is_down(worker));
 }
 
-TEST(OutlierDetector, ThreeLostProbesMarkAWorkerDownAndItsInstancesGone) {
+TEST_CASE("OutlierDetector: three lost probes mark a worker down and its instances gone",
+          "[outlier-detector]") {
   Parts parts(with_probes());
   const WorkerIndex worker = parts.add_worker(entry("a"));
   Instance& instance = parts.add_function(1).instance_at(worker);
   instance.loaded = 1;
   parts.outliers.connection_failed(worker, true, parts.now);
   for (int lost = 1; lost <= 3; ++lost) {
-    EXPECT_FALSE(parts.outliers.is_down(worker));
+    CHECK_FALSE(parts.outliers.is_down(worker));
     parts.outliers.probe_failed(worker, Outcome::reset, parts.now);
   }
-  EXPECT_TRUE(parts.outliers.is_down(worker));
-  EXPECT_EQ(instance.loaded, 0);
-  EXPECT_EQ(parts.emitted_of<action::Probe>().size(), 3U);
-  EXPECT_TRUE(parts.outliers.note_alive(worker, parts.now)) << "it is back, as another process";
-  EXPECT_FALSE(parts.outliers.note_alive(worker, parts.now));
+  CHECK(parts.outliers.is_down(worker));
+  CHECK(instance.loaded == 0);
+  CHECK(parts.emitted_of<action::Probe>().size() == 3U);
+  UNSCOPED_INFO("it is back, as another process");
+  CHECK(parts.outliers.note_alive(worker, parts.now));
+  CHECK_FALSE(parts.outliers.note_alive(worker, parts.now));
 }
 
-TEST(OutlierDetector, PeersAreNotifiedOnceOfALoss) {
+TEST_CASE("OutlierDetector: peers are notified once of a loss", "[outlier-detector]") {
   Settings settings = test::settings();
   settings.peers = true;
   settings.routers = 2;
@@ -95,17 +103,18 @@
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.connection_failed(worker, true, parts.now);
   parts.outliers.connection_failed(worker, true, parts.now);
-  EXPECT_EQ(parts.emitted_of<action::Tell>().size(), 1U);
+  CHECK(parts.emitted_of<action::Tell>().size() == 1U);
 }
 
-TEST(OutlierDetector, APeersWordDoesNotOutweighAnAnswerOfAMomentAgo) {
+TEST_CASE("OutlierDetector: a peer's word does not outweigh an answer of a moment ago",
+          "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.note_alive(worker, parts.now);
   parts.outliers.peer_reported_down(worker, parts.now + Millis(500));
-  EXPECT_FALSE(parts.outliers.is_down(worker));
+  CHECK_FALSE(parts.outliers.is_down(worker));
   parts.outliers.peer_reported_down(worker, parts.now + Millis(1500));
-  EXPECT_TRUE(parts.outliers.is_down(worker));
+  CHECK(parts.outliers.is_down(worker));
 }
 
 }  // namespace
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -1,8 +1,7 @@
 #include "policy/placement.h"
 
-#include <gtest/gtest.h>
-
 #include <algorithm>
+#include <catch2/catch.hpp>
 #include <set>
 
 #include "parts.h"
@@ -32,48 +31,48 @@
   return function.candidates.order;
 }
 
-TEST(Placement, InvokersAgreeOnTheReplicasAndEachHasAnOrderOfItsOwn) {
+TEST_CASE("Placement: invokers agree on the replicas and each has an order of its own", "[placement]") {
   std::set<std::set<WorkerIndex>> sets;
   std::set<WorkerIndex> firsts;
   for (int rank = 0; rank < 20; ++rank) {
     int replicas = 0;
     const auto order = candidates(rank, 2, replicas);
-    ASSERT_EQ(order.size(), 20U);
-    ASSERT_EQ(replicas, 11)
-        << "ten requests in service in the whole fleet, one for each replica, and one more";
+    REQUIRE(order.size() == 20U);
+    UNSCOPED_INFO("ten requests in service in the whole fleet, one for each replica, and one more");
+    REQUIRE(replicas == 11);
     sets.insert(std::set<WorkerIndex>(order.begin(), order.begin() + replicas));
     firsts.insert(order.front());
   }
-  EXPECT_EQ(sets.size(), 1U);
-  EXPECT_GT(firsts.size(), 3U);
+  CHECK(sets.size() == 1U);
+  CHECK(firsts.size() > 3U);
 }
 
-TEST(Placement, AFunctionSeldomRequestedHasOneReplica) {
+TEST_CASE("Placement: a function seldom requested has one replica", "[placement]") {
   int replicas = 0;
   const auto first = candidates(0, 1, replicas).front();
-  EXPECT_EQ(replicas, 1);
-  EXPECT_EQ(candidates(7, 1, replicas).front(), first);
+  CHECK(replicas == 1);
+  CHECK(candidates(7, 1, replicas).front() == first);
 }
 
-TEST(Placement, TheOwnZoneComesFirstAmongTheReplicas) {
+TEST_CASE("Placement: the own zone comes first among the replicas", "[placement]") {
   int replicas = 0;
   const auto order = candidates(0, 2, replicas, "z2");
   const auto is_other_zone = [](WorkerIndex worker) { return worker % 2 == 1; };
-  EXPECT_TRUE(std::is_partitioned(order.begin(), order.begin() + replicas,
-                                  [&](WorkerIndex worker) { return !is_other_zone(worker); }));
+  CHECK(std::is_partitioned(order.begin(), order.begin() + replicas,
+                            [&](WorkerIndex worker) { return !is_other_zone(worker); }));
 }
 
-TEST(Placement, WorkersThatLeaveAreNoCandidates) {
+TEST_CASE("Placement: workers that leave are no candidates", "[placement]") {
   Parts parts;
   parts.add_worker(entry("a"));
   parts.add_worker(entry("b"));
   Function& function = parts.add_function(1);
   const Placement placement(parts.settings, parts.workers, parts.times, parts.reports);
   placement.update(function, parts.now);
-  EXPECT_EQ(function.candidates.order.size(), 2U);
+  CHECK(function.candidates.order.size() == 2U);
   parts.workers.apply({ListKind::delta, {entry("a", WorkerState::draining)}}, parts.now);
   placement.update(function, parts.now);
-  EXPECT_EQ(function.candidates.order, std::vector<WorkerIndex>{1});
+  CHECK(function.candidates.order == std::vector<WorkerIndex>{1});
 }
 
 }  // namespace
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -1,13 +1,13 @@
 #include "policy/request_table.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 
 namespace pathstack::policy::test {
 namespace {
 
-class RequestTableTest : public ::testing::Test {
+class RequestTableTest {
  protected:
   Parts parts;
   RequestTable& table = parts.requests;
@@ -15,41 +15,44 @@
   Request& request = parts.add_request("x", function);
 };
 
-TEST_F(RequestTableTest, IsFoundByIdAndBySerialUntilItIsFinished) {
+TEST_CASE_METHOD(RequestTableTest, "RequestTable: is found by id and by serial until it is finished",
+                 "[request-table]") {
   const std::uint64_t serial = request.serial;
-  EXPECT_EQ(table.find("x"), &request);
-  EXPECT_EQ(table.find(serial), &request);
-  EXPECT_EQ(function.queue.size(), 1U);
+  CHECK(table.find("x") == &request);
+  CHECK(table.find(serial) == &request);
+  CHECK(function.queue.size() == 1U);
   table.finish(request);
-  EXPECT_EQ(table.find("x"), nullptr);
-  EXPECT_EQ(table.find(serial), nullptr);
-  EXPECT_TRUE(function.queue.empty());
+  CHECK(table.find("x") == nullptr);
+  CHECK(table.find(serial) == nullptr);
+  CHECK(function.queue.empty());
 }
 
-TEST_F(RequestTableTest, OutlivesItsFinalAnswerWhileAnAttemptIsOut) {
+TEST_CASE_METHOD(RequestTableTest, "RequestTable: outlives its final answer while an attempt is out",
+                 "[request-table]") {
   table.start_attempt(request, 0, parts.now);
   table.finish(request);
-  ASSERT_EQ(table.find("x"), &request);
-  EXPECT_TRUE(request.done);
-  ASSERT_NE(table.end_attempt(request, 0, Outcome::cancelled), nullptr);
+  REQUIRE(table.find("x") == &request);
+  CHECK(request.done);
+  REQUIRE(table.end_attempt(request, 0, Outcome::cancelled) != nullptr);
   table.finish(request);
-  EXPECT_EQ(table.find("x"), nullptr);
+  CHECK(table.find("x") == nullptr);
 }
 
-TEST_F(RequestTableTest, AnAttemptHasOneOutcome) {
+TEST_CASE_METHOD(RequestTableTest, "RequestTable: an attempt has one outcome", "[request-table]") {
   table.start_attempt(request, 3, parts.now);
-  EXPECT_TRUE(request.has_attempt_out());
+  CHECK(request.has_attempt_out());
   const Attempt* ended = table.end_attempt(request, 0, Outcome::reset);
-  ASSERT_NE(ended, nullptr);
-  EXPECT_EQ(ended->worker, 3U);
-  EXPECT_EQ(ended->state, AttemptState::may_have_run);
-  EXPECT_FALSE(request.has_attempt_out());
-  EXPECT_EQ(table.end_attempt(request, 0, Outcome::ok), nullptr);
-  EXPECT_EQ(table.end_attempt(request, 1, Outcome::ok), nullptr);
-  EXPECT_EQ(table.end_attempt(request, -1, Outcome::ok), nullptr);
+  REQUIRE(ended != nullptr);
+  CHECK(ended->worker == 3U);
+  CHECK(ended->state == AttemptState::may_have_run);
+  CHECK_FALSE(request.has_attempt_out());
+  CHECK(table.end_attempt(request, 0, Outcome::ok) == nullptr);
+  CHECK(table.end_attempt(request, 1, Outcome::ok) == nullptr);
+  CHECK(table.end_attempt(request, -1, Outcome::ok) == nullptr);
 }
 
-TEST_F(RequestTableTest, OutcomesSayWhetherAnAttemptCanHaveRun) {
+TEST_CASE_METHOD(RequestTableTest, "RequestTable: outcomes say whether an attempt can have run",
+                 "[request-table]") {
   const std::vector<std::pair<Outcome, AttemptState>> states = {
       {Outcome::not_sent, AttemptState::not_sent},        {Outcome::full, AttemptState::never_ran},
       {Outcome::connect_failed, AttemptState::never_ran}, {Outcome::miss, AttemptState::never_ran},
@@ -57,9 +60,10 @@
   for (const auto& [outcome, state] : states) {
     table.start_attempt(request, 0, parts.now);
     const int number = static_cast<int>(request.attempts.size()) - 1;
-    EXPECT_EQ(table.end_attempt(request, number, outcome)->state, state);
+    CHECK(table.end_attempt(request, number, outcome)->state == state);
   }
-  EXPECT_EQ(request.attempts_sent(), 5) << "one did not leave this machine";
+  UNSCOPED_INFO("one did not leave this machine");
+  CHECK(request.attempts_sent() == 5);
 }
 
 }  // namespace
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/retry_policy.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 
@@ -11,7 +11,7 @@
 constexpr int kKeyed = 1;
 constexpr int kOnce = 2;
 
-class RetryPolicyTest : public ::testing::Test {
+class RetryPolicyTest {
  protected:
   Request& attempted(int class_index, Outcome outcome) {
     Function& function = parts.add_function(static_cast<std::uint64_t>(class_index) + 1, class_index);
@@ -26,60 +26,66 @@
   WorkerIndex worker = parts.add_worker(entry("a"));
 };
 
-TEST_F(RetryPolicyTest, WhatMayHaveRunIsRepeatedAsItsSemanticsAllow) {
-  EXPECT_TRUE(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
-  EXPECT_TRUE(parts.retries.may_send(attempted(kKeyed, Outcome::error), worker, parts.now));
-  EXPECT_FALSE(parts.retries.may_send(attempted(kOnce, Outcome::error), worker, parts.now));
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what may have run is repeated as its semantics allow",
+                 "[retry-policy]") {
+  CHECK(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
+  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::error), worker, parts.now));
+  CHECK_FALSE(parts.retries.may_send(attempted(kOnce, Outcome::error), worker, parts.now));
 }
 
-TEST_F(RetryPolicyTest, WhatNeverRanMayAlwaysGoAgain) {
-  EXPECT_TRUE(parts.retries.may_send(attempted(kOnce, Outcome::full), worker, parts.now));
-  EXPECT_TRUE(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what never ran may always go again", "[retry-policy]") {
+  CHECK(parts.retries.may_send(attempted(kOnce, Outcome::full), worker, parts.now));
+  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
 }
 
-TEST_F(RetryPolicyTest, AKeyHoldsForItsWindowAndScope) {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a key holds for its window and scope", "[retry-policy]") {
   Request& request = attempted(kKeyed, Outcome::error);
   const Millis window = parts.settings.classes[kKeyed].key_window;
-  EXPECT_TRUE(parts.retries.may_repeat(request, nullptr, parts.now + window - parts.settings.tick));
-  EXPECT_FALSE(parts.retries.may_repeat(request, nullptr, parts.now + window));
+  CHECK(parts.retries.may_repeat(request, nullptr, parts.now + window - parts.settings.tick));
+  CHECK_FALSE(parts.retries.may_repeat(request, nullptr, parts.now + window));
   parts.settings.classes[kKeyed].scope = KeyScope::zone;
   Worker elsewhere = parts.workers[worker];
-  EXPECT_TRUE(parts.retries.may_repeat(request, &elsewhere, parts.now));
+  CHECK(parts.retries.may_repeat(request, &elsewhere, parts.now));
   elsewhere.zone = "z2";
-  EXPECT_FALSE(parts.retries.may_repeat(request, &elsewhere, parts.now));
-  EXPECT_FALSE(parts.retries.may_repeat(request, nullptr, parts.now)) << "a refused client may come anywhere";
+  CHECK_FALSE(parts.retries.may_repeat(request, &elsewhere, parts.now));
+  UNSCOPED_INFO("a refused client may come anywhere");
+  CHECK_FALSE(parts.retries.may_repeat(request, nullptr, parts.now));
 }
 
-TEST_F(RetryPolicyTest, AttemptsAreLimitedAndThoseNotSentCountForNothing) {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: attempts are limited and those not sent count for nothing",
+                 "[retry-policy]") {
   parts.settings.max_attempts = 1;
-  EXPECT_FALSE(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
-  EXPECT_TRUE(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
+  CHECK_FALSE(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
+  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
 }
 
-TEST_F(RetryPolicyTest, ARetryIsQueuedAtTheFront) {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a retry is queued at the front", "[retry-policy]") {
   Request& request = attempted(kRepeatable, Outcome::error);
   Request& other = parts.add_request("y", *request.function);
   parts.retries.retry_or_give_up(request, parts.now);
-  EXPECT_EQ(request.function->queue, (std::deque<std::uint64_t>{request.serial, other.serial}));
+  CHECK(request.function->queue == (std::deque<std::uint64_t>{request.serial, other.serial}));
 }
 
-TEST_F(RetryPolicyTest, GivingUpRefusesWhatMayRunAgainAndFailsTheRest) {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: giving up refuses what may run again and fails the rest",
+                 "[retry-policy]") {
   parts.retries.give_up(attempted(kRepeatable, Outcome::error), parts.now);
   parts.retries.give_up(attempted(kOnce, Outcome::error), parts.now);
-  EXPECT_EQ(parts.emitted_of<action::Refuse>().size(), 1U);
-  EXPECT_EQ(parts.emitted_of<action::Fail>().size(), 1U);
-  EXPECT_EQ(parts.retries.given_up_after_attempt(), 2);
-  EXPECT_TRUE(parts.requests.all().empty());
+  CHECK(parts.emitted_of<action::Refuse>().size() == 1U);
+  CHECK(parts.emitted_of<action::Fail>().size() == 1U);
+  CHECK(parts.retries.given_up_after_attempt() == 2);
+  CHECK(parts.requests.all().empty());
 }
 
-TEST_F(RetryPolicyTest, AClientsRetryHasTheObjectiveOfItsFirstAttempt) {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a client's retry has the objective of its first attempt",
+                 "[retry-policy]") {
   const auto left = [&](double time_left) {
     return (parts.retries.objective_at(kRepeatable, Millis(time_left), parts.now) - parts.now).count();
   };
-  EXPECT_EQ(left(4000), 1000);
-  EXPECT_EQ(left(4000), 1000);
-  EXPECT_EQ(left(3500), 500) << "its first attempt was 500 ms ago";
-  EXPECT_EQ(left(4000), 1000);
+  CHECK(left(4000) == 1000);
+  CHECK(left(4000) == 1000);
+  UNSCOPED_INFO("its first attempt was 500 ms ago");
+  CHECK(left(3500) == 500);
+  CHECK(left(4000) == 1000);
 }
 
 }  // namespace
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/scheduler.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "parts.h"
 #include "policy/load_shedder.h"
@@ -9,7 +9,7 @@
 namespace pathstack::policy::test {
 namespace {
 
-class SchedulerTest : public ::testing::Test {
+class SchedulerTest {
  protected:
   /// A function whose runs take 100 ms and whose loads 300 ms, with one slot at the worker.
   Function& loaded_function(std::uint64_t id) {
@@ -42,42 +42,45 @@
   int requests = 0;
 };
 
-TEST_F(SchedulerTest, ARequestTakesAFreeSlotOfAWarmInstance) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a request takes a free slot of a warm instance", "[scheduler]") {
   Function& function = loaded_function(1);
   request(function);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(sends(), 1U);
-  EXPECT_EQ(function.find_instance(worker)->in_flight, 1);
-  EXPECT_EQ(parts.workers[worker].in_flight, 1);
-  EXPECT_TRUE(function.queue.empty());
+  CHECK(sends() == 1U);
+  CHECK(function.find_instance(worker)->in_flight == 1);
+  CHECK(parts.workers[worker].in_flight == 1);
+  CHECK(function.queue.empty());
 }
 
 // E = N + 1 - L K / R with K = 1, L / R = 3: three may wait, the fourth starts a load.
-TEST_F(SchedulerTest, ALoadBeginsOnlyIfTheExpectedQueueAfterItIsAboveZero) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a load begins only if the expected queue after it is above zero",
+                 "[scheduler]") {
   parts.add_worker(entry("b"));
   Function& function = loaded_function(1);
   request(function, 4);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(sends(), 1U);
-  EXPECT_EQ(loads(), 0U);
+  CHECK(sends() == 1U);
+  CHECK(loads() == 0U);
   request(function);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(sends(), 1U);
-  EXPECT_EQ(loads(), 1U);
-  EXPECT_EQ(parts.functions.loads_in_flight(), 1);
+  CHECK(sends() == 1U);
+  CHECK(loads() == 1U);
+  CHECK(parts.functions.loads_in_flight() == 1);
 }
 
-TEST_F(SchedulerTest, WithNothingLoadedTheFirstRequestLoads) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: with nothing loaded the first request loads", "[scheduler]") {
   Function& function = parts.add_function(1);
   request(function);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(loads(), 1U);
+  CHECK(loads() == 1U);
   request(function);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(loads(), 1U) << "one is under way";
+  UNSCOPED_INFO("one is under way");
+  CHECK(loads() == 1U);
 }
 
-TEST_F(SchedulerTest, AWorkerIsHandedToTheQueuedFunctionOfTheLowestWeight) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a worker is handed to the queued function of the lowest weight",
+                 "[scheduler]") {
   Function& slow = loaded_function(1);
   for (int i = 0; i < 100; ++i) parts.times.record_run(slow.times, 0, 1000);
   Function& quick = parts.add_function(2);
@@ -86,35 +89,38 @@
   request(quick, 3);
   scheduler.attempt_ended(slow, worker, parts.now);
   const auto orders = parts.emitted_of<action::Load>();
-  ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].function, 2U);
-  EXPECT_EQ(orders[0].worker, "a");
+  REQUIRE(orders.size() == 1U);
+  CHECK(orders[0].function == 2U);
+  CHECK(orders[0].worker == "a");
 }
 
-TEST_F(SchedulerTest, NoMoreLoadsThanTheOrderBudgetAllowsSoTheRequestItselfLoads) {
+TEST_CASE_METHOD(SchedulerTest,
+                 "Scheduler: no more loads than the order budget allows so the request itself loads",
+                 "[scheduler]") {
   parts.settings.load_window = Millis(5000);
   Function& function = parts.add_function(1);
   request(function);
   scheduler.consider(function, parts.now);
-  EXPECT_EQ(loads(), 0U);
-  EXPECT_EQ(sends(), 1U);
+  CHECK(loads() == 0U);
+  CHECK(sends() == 1U);
 }
 
-TEST_F(SchedulerTest, ARequestPastItsObjectiveIsShedUnlessALoadIsUnderWay) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a request past its objective is shed unless a load is under way",
+                 "[scheduler]") {
   Function& function = parts.add_function(1);
   request(function);
   function.instance_at(worker).loading = 1;
   parts.now += Millis(1001);
   shedder.shed(function, parts.now);
-  EXPECT_EQ(function.queue.size(), 1U);
+  CHECK(function.queue.size() == 1U);
   function.instance_at(worker).loading = 0;
   shedder.shed(function, parts.now);
-  EXPECT_TRUE(function.queue.empty());
-  EXPECT_EQ(parts.emitted_of<action::Refuse>().size(), 1U);
-  EXPECT_EQ(shedder.count(ShedReason::no_instance), 1);
+  CHECK(function.queue.empty());
+  CHECK(parts.emitted_of<action::Refuse>().size() == 1U);
+  CHECK(shedder.count(ShedReason::no_instance) == 1);
 }
 
-TEST_F(SchedulerTest, AShedRequestIsCountedByWhatKeptItBack) {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a shed request is counted by what kept it back", "[scheduler]") {
   Function& function = loaded_function(1);
   const auto shed_one = [&](ShedReason reason) {
     request(function);
@@ -124,11 +130,11 @@
     shedder.shed(function, later);
     return shedder.count(reason) - before;
   };
-  EXPECT_EQ(shed_one(ShedReason::slowed_down), 1);
+  CHECK(shed_one(ShedReason::slowed_down) == 1);
   function.find_instance(worker)->in_flight = 1;
-  EXPECT_EQ(shed_one(ShedReason::slots_in_use), 1);
+  CHECK(shed_one(ShedReason::slots_in_use) == 1);
   parts.outliers.eject(worker, parts.now + Millis(1000));
-  EXPECT_EQ(shed_one(ShedReason::worker_unhealthy), 1);
+  CHECK(shed_one(ShedReason::worker_unhealthy) == 1);
 }
 
 }  // namespace
--- a/tests/policy/service_times_test.cpp
+++ b/tests/policy/service_times_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/service_times.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "policy/average.h"
 #include "policy_harness.h"
@@ -8,71 +8,78 @@
 namespace pathstack::policy::test {
 namespace {
 
-TEST(Average, IsThePlainMeanAtFirstAndThenFollowsByItsGain) {
+TEST_CASE("Average: is the plain mean at first and then follows by its gain", "[average]") {
   Average average;
   for (const double sample : {10.0, 20.0, 30.0}) average.add(sample, 0.1, 4);
-  EXPECT_DOUBLE_EQ(average.value, 20);
+  CHECK_THAT(average.value, Catch::Matchers::WithinULP(20.0, 4));
   for (int i = 0; i < 20; ++i) average.add(20, 0.1, 4);
   average.add(30, 0.1, 4);
-  EXPECT_DOUBLE_EQ(average.value, 21);
+  CHECK_THAT(average.value, Catch::Matchers::WithinULP(21.0, 4));
 }
 
-TEST(Average, CountsAnOutlierAtMostAsAMultipleOfItself) {
+TEST_CASE("Average: counts an outlier at most as a multiple of itself", "[average]") {
   Average average;
   for (int i = 0; i < 100; ++i) average.add(10, 0.1, 4);
   average.add(1e9, 0.1, 4);
-  EXPECT_NEAR(average.value, 13, 1e-9);
+  CHECK_THAT(average.value, Catch::Matchers::WithinAbs(13.0, 1e-9));
 }
 
-class ServiceTimesTest : public ::testing::Test {
+class ServiceTimesTest {
  protected:
   const Settings settings = test::settings();
   ServiceTimes times{settings};
 };
 
-TEST_F(ServiceTimesTest, KnowNothingAtFirst) {
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: know nothing at first", "[service-times]") {
   FunctionTimes function;
   function.class_index = 0;
-  EXPECT_EQ(times.run(function), 0);
-  EXPECT_EQ(times.load(function), 0);
-  EXPECT_EQ(times.work(0), 250) << "a quarter of the latency objective";
-  EXPECT_EQ(times.work(-1), 1) << "never 0";
+  CHECK(times.run(function) == 0);
+  CHECK(times.load(function) == 0);
+  UNSCOPED_INFO("a quarter of the latency objective");
+  CHECK(times.work(0) == 250);
+  UNSCOPED_INFO("never 0");
+  CHECK(times.work(-1) == 1);
 }
 
-TEST_F(ServiceTimesTest, AnUnknownFunctionTakesThoseOfItsClass) {
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: an unknown function takes those of its class",
+                 "[service-times]") {
   FunctionTimes known;
   FunctionTimes unknown;
   known.class_index = unknown.class_index = 0;
   times.record_run(known, 0, 80);
-  EXPECT_EQ(times.run(unknown), 80);
-  EXPECT_EQ(times.unloaded_run(unknown), 80);
-  EXPECT_EQ(times.work(0), 80);
+  CHECK(times.run(unknown) == 80);
+  CHECK(times.unloaded_run(unknown) == 80);
+  CHECK(times.work(0) == 80);
   unknown.class_index = 1;
-  EXPECT_EQ(times.run(unknown), 0);
+  CHECK(times.run(unknown) == 0);
 }
 
-TEST_F(ServiceTimesTest, TheUnloadedRunIsASlowMovingLeast) {
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: the unloaded run is a slow moving least",
+                 "[service-times]") {
   FunctionTimes function;
   for (int i = 0; i < 10; ++i) times.record_run(function, 0, 100);
   for (int i = 0; i < 10; ++i) times.record_run(function, 0, 300);
-  EXPECT_GT(times.run(function), 180);
-  EXPECT_LT(times.unloaded_run(function), 103);
+  CHECK(times.run(function) > 180);
+  CHECK(times.unloaded_run(function) < 103);
 }
 
-TEST_F(ServiceTimesTest, ALoadIsMeasuredBeforeItIsHintedBeforeItIsGuessed) {
+TEST_CASE_METHOD(ServiceTimesTest,
+                 "ServiceTimes: a load is measured before it is hinted before it is guessed",
+                 "[service-times]") {
   FunctionTimes other;
   FunctionTimes function;
   times.record_load(other, 700);
-  EXPECT_EQ(times.load(function), 700);
+  CHECK(times.load(function) == 700);
   function.load_hint = 500;
-  EXPECT_EQ(times.load(function), 500);
+  CHECK(times.load(function) == 500);
   times.record_load(function, 900);
-  EXPECT_EQ(times.load(function), 900);
+  CHECK(times.load(function) == 900);
 }
 
-TEST_F(ServiceTimesTest, AWorkerIsNotSilentBeforeALeastSpell) {
-  EXPECT_EQ(times.run_timeout(1), kLeastSilence);
-  EXPECT_EQ(times.run_timeout(100), Millis(600));
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: a worker is not silent before a least spell",
+                 "[service-times]") {
+  CHECK(times.run_timeout(1) == kLeastSilence);
+  CHECK(times.run_timeout(100) == Millis(600));
 }
 
 }  // namespace
--- a/tests/policy/worker_table_test.cpp
+++ b/tests/policy/worker_table_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/worker_table.h"
 
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "policy/gossip.h"
 #include "policy/hash.h"
@@ -11,7 +11,7 @@
 
 using Kind = WorkerChange::Kind;
 
-class WorkerTableTest : public ::testing::Test {
+class WorkerTableTest {
  protected:
   std::vector<Kind> apply(std::vector<WorkerEntry> entries, ListKind kind = ListKind::delta) {
     std::vector<Kind> kinds;
@@ -25,55 +25,59 @@
   Millis now{100000};
 };
 
-TEST_F(WorkerTableTest, AFullListLeavesOutWhoIsGone) {
-  EXPECT_EQ(apply({entry("a"), entry("b")}, ListKind::full), (std::vector<Kind>{Kind::added, Kind::added}));
-  EXPECT_EQ(apply({entry("b")}, ListKind::full), std::vector<Kind>{Kind::left});
-  EXPECT_EQ(table.find("a")->state, WorkerState::gone);
-  EXPECT_EQ(table.find("b")->state, WorkerState::ready);
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a full list leaves out who is gone", "[worker-table]") {
+  CHECK(apply({entry("a"), entry("b")}, ListKind::full) == (std::vector<Kind>{Kind::added, Kind::added}));
+  CHECK(apply({entry("b")}, ListKind::full) == std::vector<Kind>{Kind::left});
+  CHECK(table.find("a")->state == WorkerState::gone);
+  CHECK(table.find("b")->state == WorkerState::ready);
 }
 
-TEST_F(WorkerTableTest, ADeltaLeavesTheOthersAlone) {
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a delta leaves the others alone", "[worker-table]") {
   apply({entry("a"), entry("b")}, ListKind::full);
-  EXPECT_EQ(apply({entry("b", WorkerState::draining)}), std::vector<Kind>{Kind::left});
-  EXPECT_EQ(table.find("a")->state, WorkerState::ready);
+  CHECK(apply({entry("b", WorkerState::draining)}) == std::vector<Kind>{Kind::left});
+  CHECK(table.find("a")->state == WorkerState::ready);
 }
 
-TEST_F(WorkerTableTest, AnyChangeOfAStampIsARestartThatCountsFromNow) {
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: any change of a stamp is a restart that counts from now",
+                 "[worker-table]") {
   apply({entry("a", WorkerState::ready, 50000)}, ListKind::full);
-  EXPECT_EQ(table.find("a")->started_at, Millis(50000));
+  CHECK(table.find("a")->started_at == Millis(50000));
   now = Millis(200000);
   for (const double stamp : {49000.0, 9e9}) {
     now += Millis(1000);
-    EXPECT_EQ(apply({entry("a", WorkerState::ready, stamp)}), std::vector<Kind>{Kind::restarted});
-    EXPECT_EQ(table.find("a")->started_at, now);
+    CHECK(apply({entry("a", WorkerState::ready, stamp)}) == std::vector<Kind>{Kind::restarted});
+    CHECK(table.find("a")->started_at == now);
   }
-  EXPECT_TRUE(apply({entry("a", WorkerState::ready, 0)}).empty());
-  EXPECT_TRUE(apply({entry("a", WorkerState::ready, 9e9)}).empty());
+  CHECK(apply({entry("a", WorkerState::ready, 0)}).empty());
+  CHECK(apply({entry("a", WorkerState::ready, 9e9)}).empty());
 }
 
-TEST_F(WorkerTableTest, APlaceIsUsedAgainOnceItsWorkerIsLongGoneAndNothingIsInFlight) {
+TEST_CASE_METHOD(WorkerTableTest,
+                 "WorkerTable: a place is used again once its worker is long gone and nothing is in flight",
+                 "[worker-table]") {
   apply({entry("a"), entry("b")}, ListKind::full);
   const WorkerIndex place = table.find("a")->index;
   table.attempt_started(place, true, now);
   apply({entry("b")}, ListKind::full);
   now += Millis(60001);
-  EXPECT_TRUE(table.prune(now).empty());
+  CHECK(table.prune(now).empty());
   table.attempt_ended(place, true);
-  EXPECT_EQ(table.prune(now), std::vector<WorkerIndex>{place});
-  EXPECT_EQ(table.find("a"), nullptr);
-  EXPECT_FALSE(table.find_by_tag(worker_tag(hash_of("a"))));
+  CHECK(table.prune(now) == std::vector<WorkerIndex>{place});
+  CHECK(table.find("a") == nullptr);
+  CHECK_FALSE(table.find_by_tag(worker_tag(hash_of("a"))));
   apply({entry("c")});
-  EXPECT_EQ(table.find("c")->index, place);
-  EXPECT_EQ(table.all().size(), 2U);
+  CHECK(table.find("c")->index == place);
+  CHECK(table.all().size() == 2U);
 }
 
-TEST_F(WorkerTableTest, IsHeardFromWhenItsFirstAttemptIsSent) {
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: is heard from when its first attempt is sent",
+                 "[worker-table]") {
   apply({entry("a")});
   table.attempt_started(0, true, Millis(5));
   table.attempt_started(0, true, Millis(9));
-  EXPECT_EQ(table[0].heard_at, Millis(5));
-  EXPECT_EQ(table[0].in_flight, 2);
-  EXPECT_EQ(table[0].unconfirmed_in_flight, 0);
+  CHECK(table[0].heard_at == Millis(5));
+  CHECK(table[0].in_flight == 2);
+  CHECK(table[0].unconfirmed_in_flight == 0);
 }
 
 }  // namespace
--- a/tests/policy_clock_test.cpp
+++ b/tests/policy_clock_test.cpp
@@ -1,5 +1,5 @@
 // Warm-up of workers when the wall clock that stamps their starts is stepped.
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "policy_harness.h"
 
@@ -49,7 +49,7 @@
         r.answer(action::Send(r.sends[answered]), Outcome::ok, 80);
     }
   }
-  EXPECT_FALSE(r.broken);
+  CHECK_FALSE(r.broken);
   std::string actions;
   for (const auto& send : r.sends) actions += send.id + '>' + send.worker + ' ';
   for (const auto& load : r.loads) actions += std::to_string(load.function) + '@' + load.worker + ' ';
@@ -57,12 +57,13 @@
   return actions;
 }
 
-TEST(SteppedClock, ChangesNoActionFromAnyPhaseOfTheDayOn) {
+TEST_CASE("SteppedClock: changes no action from any phase of the day on", "[stepped-clock]") {
   const std::string steady = play_day(kPhases, Millis(0));
-  ASSERT_GT(steady.size(), 1000U);
+  REQUIRE(steady.size() > 1000U);
   for (const double step : {-3600e3, -5e3, 5e3, 3600e3}) {
     for (int phase = 0; phase < kPhases; ++phase) {
-      EXPECT_TRUE(play_day(phase, Millis(step)) == steady) << step << " ms from phase " << phase << " on";
+      UNSCOPED_INFO(step << " ms from phase " << phase << " on");
+      CHECK(play_day(phase, Millis(step)) == steady);
     }
   }
 }
@@ -79,47 +80,47 @@
   return r.sends.size() - before;
 }
 
-TEST(SteppedClock, ARestartStampedBeforeTheLastOneIsARestart) {
+TEST_CASE("SteppedClock: a restart stamped before the last one is a restart", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
   r.list({entry("a", WorkerState::ready, -20000)});
   const std::size_t usual = sent_within(r, 3, "before");
-  ASSERT_GE(usual, 28U);
+  REQUIRE(usual >= 28U);
   r.list({entry("a", WorkerState::ready, -90000)}, ListKind::delta);
-  EXPECT_LE(sent_within(r, 3, "after"), usual * 2 / 3);
+  CHECK(sent_within(r, 3, "after") <= usual * 2 / 3);
 }
 
-TEST(SteppedClock, AStampAheadOfTheClockInTheFirstListCountsAsNow) {
+TEST_CASE("SteppedClock: a stamp ahead of the clock in the first list counts as now", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
   r.list({entry("a", WorkerState::ready, 3600e3)});
   r.pass(s.cold_for.count());
-  EXPECT_GE(sent_within(r, 3, "x"), 28U);
+  CHECK(sent_within(r, 3, "x") >= 28U);
 }
 
 // Failure found in review: an invoker is started with all events so far, one list each; those after the first
 // made every worker that had ever restarted look as if it did so just now.
-TEST(SteppedClock, StartsInTheEventsKnownAtTheStartCountByTheirStamps) {
+TEST_CASE("SteppedClock: starts in the events known at the start count by their stamps", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
   r.now = Millis(100000);
   r.list({entry("a")}, ListKind::cached);
   r.list({entry("a", WorkerState::ready, 20000)}, ListKind::delta);
-  EXPECT_GE(sent_within(r, 3, "x"), 28U);
+  CHECK(sent_within(r, 3, "x") >= 28U);
 }
 
-TEST(SteppedClock, AnEntryWithoutAStampOrWithTheSameOneIsNoRestart) {
+TEST_CASE("SteppedClock: an entry without a stamp or with the same one is no restart", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
   r.list({entry("a", WorkerState::ready, -20000)});
-  ASSERT_GE(sent_within(r, 3, "before"), 28U);
+  REQUIRE(sent_within(r, 3, "before") >= 28U);
   for (const double stamp : {0.0, -20000.0}) {
     r.list({entry("a", WorkerState::ready, stamp)}, ListKind::delta);
-    EXPECT_GE(sent_within(r, 3, "stamp" + std::to_string(stamp)), 28U);
+    CHECK(sent_within(r, 3, "stamp" + std::to_string(stamp)) >= 28U);
   }
 }
 
--- a/tests/policy_local_fault_test.cpp
+++ b/tests/policy_local_fault_test.cpp
@@ -1,5 +1,5 @@
 // Outcomes that tell of this machine or of the network, and not of the worker: not_sent and unreachable.
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "policy_harness.h"
 
@@ -18,24 +18,25 @@
   r.answer(action::Send(r.sends.back()), Outcome::ok);
 }
 
-TEST(NotSent, GoesToAnotherWorkerAtOnceAndCountsAsNoAttempt) {
+TEST_CASE("NotSent: goes to another worker at once and counts as no attempt", "[not-sent]") {
   for (const char* cls : {"safe", "keyed", "unsafe"}) {
     Settings s = self_loading();
     s.max_attempts = 1;
     Router r(s);
     r.list({entry("a"), entry("b")});
     r.request("x", 1, cls);
-    ASSERT_EQ(r.sends.size(), 1U);
+    REQUIRE(r.sends.size() == 1U);
     r.answer(action::Send(r.sends[0]), Outcome::not_sent);
-    ASSERT_EQ(r.sends.size(), 2U) << cls;
-    EXPECT_EQ(r.sends[1].id, "x");
-    EXPECT_NE(r.sends[1].worker, r.sends[0].worker);
+    UNSCOPED_INFO(cls);
+    REQUIRE(r.sends.size() == 2U);
+    CHECK(r.sends[1].id == "x");
+    CHECK(r.sends[1].worker != r.sends[0].worker);
     r.answer(action::Send(r.sends[1]), Outcome::ok);
-    EXPECT_TRUE(r.failed.empty() && r.refused.empty());
+    CHECK((r.failed.empty() && r.refused.empty()));
   }
 }
 
-TEST(NotSent, GoesToTheOnlyWorkerAfterABackoff) {
+TEST_CASE("NotSent: goes to the only worker after a backoff", "[not-sent]") {
   Settings s = self_loading();
   s.max_attempts = 1;
   Router r(s);
@@ -43,14 +44,14 @@
   warm_up(r);
   r.request("x");
   r.answer(action::Send(r.sends.back()), Outcome::not_sent);
-  EXPECT_EQ(r.sends.size(), 2U);
+  CHECK(r.sends.size() == 2U);
   r.pass(100);
-  ASSERT_EQ(r.sends.size(), 3U);
-  EXPECT_EQ(r.sends[2].id, "x");
+  REQUIRE(r.sends.size() == 3U);
+  CHECK(r.sends[2].id == "x");
 }
 
-// A worker is judged by none of them: it is not ejected, probed, or taken for silent or slowed down.
-TEST(NotSent, SaysNothingOfTheWorker) {
+// A worker is judged by none of them: it is not ejected, asked for or taken for silent or stretched.
+TEST_CASE("NotSent: says nothing of the worker", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
   s.peers = true;
@@ -63,19 +64,20 @@
     r.request("x" + std::to_string(i), 1, "unsafe");
     r.answer(action::Send(r.sends.back()), Outcome::not_sent, 0);
     r.pass(100);
-    ASSERT_EQ(r.sends.back().id, "x" + std::to_string(i));
+    REQUIRE(r.sends.back().id == "x" + std::to_string(i));
     r.answer(action::Send(r.sends.back()), Outcome::ok);
   }
-  EXPECT_TRUE(r.probes.empty());
+  CHECK(r.probes.empty());
   const auto after = r.policy.tally();
   for (const char* name : {"now.unusable", "now.sum_limit", "now.run_ms", "now.load_ms"}) {
-    EXPECT_EQ(after.at(name), before.at(name)) << name;
+    UNSCOPED_INFO(name);
+    CHECK(after.at(name) == before.at(name));
   }
-  EXPECT_TRUE(r.failed.empty() && r.refused.empty());
+  CHECK((r.failed.empty() && r.refused.empty()));
 }
 
 // A worker that answers nothing is as silent as before, though calls to it fail to leave meanwhile.
-TEST(NotSent, IsNoSignOfLife) {
+TEST_CASE("NotSent: is no sign of life", "[not-sent]") {
   Router r(self_loading());
   r.list({entry("a")});
   warm_up(r);
@@ -85,11 +87,11 @@
   for (; r.now < Millis(1640); r.pass(20)) {  // 600 ms, six runs, count as silence
     for (; seen < r.sends.size(); ++seen) r.answer(action::Send(r.sends[seen]), Outcome::not_sent);
   }
-  EXPECT_GE(seen, 10U);
-  EXPECT_EQ(r.policy.tally().at("now.unusable"), 1);
+  CHECK(seen >= 10U);
+  CHECK(r.policy.tally().at("now.unusable") == 1);
 }
 
-TEST(NotSent, ReturnsWhatItTookOfTheBudgetOfAWarmingWorker) {
+TEST_CASE("NotSent: returns what it took of the budget of a warming worker", "[not-sent]") {
   const auto served = [](int faults) {
     Router r(self_loading());
     r.list({entry("a", WorkerState::ready, 990)});
@@ -106,10 +108,10 @@
     }
     return ok;
   };
-  EXPECT_GE(served(10), served(0) - 5);  // ten backoffs take the time of a few calls, not their budget
+  CHECK(served(10) >= served(0) - 5);  // ten backoffs take the time of a few calls, not their budget
 }
 
-TEST(NotSent, ALastingFaultDoesNotSpin) {
+TEST_CASE("NotSent: a lasting fault does not spin", "[not-sent]") {
   constexpr int kRequests = 10;
   for (const bool shared : {false, true}) {
     Settings s = self_loading();
@@ -126,45 +128,48 @@
       }
     }
     // Each request lives for its aim of 1000 ms and is sent three times in each 40 ms at most.
-    EXPECT_LE(r.sends.size(), kRequests * 3U * 26U);
-    EXPECT_GE(r.sends.size(), kRequests * 10U);
-    EXPECT_EQ(r.refused.size(), static_cast<std::size_t>(kRequests));
-    EXPECT_FALSE(r.broken);
+    CHECK(r.sends.size() <= kRequests * 3U * 26U);
+    CHECK(r.sends.size() >= kRequests * 10U);
+    CHECK(r.refused.size() == static_cast<std::size_t>(kRequests));
+    CHECK_FALSE(r.broken);
   }
 }
 
-TEST(NotSent, AnOrderIsGivenAgainAfterABackoffAndTakesNothingFromTheRation) {
+TEST_CASE("NotSent: an order is given again after a backoff and takes nothing from the ration",
+          "[not-sent]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 1;
   Router r(s);
   r.list({entry("a")});
   r.request("x");
-  ASSERT_EQ(r.loads.size(), 1U);
+  REQUIRE(r.loads.size() == 1U);
   for (std::size_t i = 1; i <= 3; ++i) {
     r.loaded("a", 1, 0, Outcome::not_sent);
-    ASSERT_EQ(r.loads.size(), i) << "none at once";
+    UNSCOPED_INFO("none at once");
+    REQUIRE(r.loads.size() == i);
     r.pass(80);
-    ASSERT_EQ(r.loads.size(), i + 1);
+    REQUIRE(r.loads.size() == i + 1);
   }
   r.loaded("a", 1, 1);
-  EXPECT_EQ(r.sends.size(), 1U);
+  CHECK(r.sends.size() == 1U);
 }
 
-TEST(NotSent, AnOrderChangesNoBelief) {
+TEST_CASE("NotSent: an order changes no belief", "[not-sent]") {
   Router r;
   r.list({entry("a")});
   r.request("x", 1, "safe", 4000, 1);
   r.loaded("a", 1, 1);
-  ASSERT_EQ(r.sends.size(), 1U);
+  REQUIRE(r.sends.size() == 1U);
   r.answer(action::Send(r.sends[0]), Outcome::ok);
   r.loaded("a", 1, 0, Outcome::not_sent);
   r.pass(100);
   r.request("y", 1, "safe", 4000, 1);
-  EXPECT_EQ(r.sends.size(), 2U) << "the instance still stands";
+  UNSCOPED_INFO("the instance still stands");
+  CHECK(r.sends.size() == 2U);
 }
 
-TEST(NotSent, ASuspectWorkerStaysSuspectUntilItsProbeHasLeft) {
+TEST_CASE("NotSent: a suspect worker stays suspect until its probe has left", "[not-sent]") {
   for (const Outcome then : {Outcome::ok, Outcome::reset}) {
     Settings s = self_loading();
     s.probes = true;
@@ -173,25 +178,27 @@
     warm_up(r);
     r.request("x");
     r.answer(action::Send(r.sends.back()), Outcome::reset);
-    ASSERT_EQ(r.probes.size(), 1U);
+    REQUIRE(r.probes.size() == 1U);
     for (int i = 0; i < 10; ++i) {
       const std::size_t asked = r.probes.size();
       r.give(event::Probed{"a", Outcome::not_sent, Millis(0), std::nullopt});
-      EXPECT_EQ(r.probes.size(), asked) << "none at once";
+      UNSCOPED_INFO("none at once");
+      CHECK(r.probes.size() == asked);
       r.pass(80);
-      ASSERT_EQ(r.probes.size(), asked + 1);
-      EXPECT_EQ(r.sends.size(), 2U) << "nothing goes to a suspect worker";
+      REQUIRE(r.probes.size() == asked + 1);
+      UNSCOPED_INFO("nothing goes to a suspect worker");
+      CHECK(r.sends.size() == 2U);
     }
     // Three probes that have left are needed to mark it down, one that is answered to clear it.
     r.give(event::Probed{"a", then, Millis(1), std::nullopt});
     r.pass(40);
     const bool clear = then == Outcome::ok;
-    EXPECT_EQ(r.sends.size(), clear ? 3U : 2U);
-    EXPECT_EQ(r.probes.size(), clear ? 11U : 12U);
+    CHECK(r.sends.size() == (clear ? 3U : 2U));
+    CHECK(r.probes.size() == (clear ? 11U : 12U));
   }
 }
 
-TEST(NotSent, APlainProbeTellsNothing) {
+TEST_CASE("NotSent: a plain probe tells nothing", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
   Router r(s);
@@ -200,15 +207,15 @@
   r.pass(2000);  // it has not answered for so long that a failed probe would count as a loss
   r.give(event::Probed{"a", Outcome::not_sent, Millis(0), std::nullopt});
   r.pass(100);
-  EXPECT_TRUE(r.probes.empty());
+  CHECK(r.probes.empty());
   for (int i = 0; i < 10; ++i) {
     r.request("x" + std::to_string(i));
-    ASSERT_EQ(r.sends.size(), static_cast<std::size_t>(i) + 2);
+    REQUIRE(r.sends.size() == static_cast<std::size_t>(i) + 2);
     r.answer(action::Send(r.sends.back()), Outcome::ok);
   }
 }
 
-TEST(Unreachable, MayHaveRunAndMakesItsWorkerSuspect) {
+TEST_CASE("Unreachable: may have run and makes its worker suspect", "[unreachable]") {
   for (const char* cls : {"safe", "unsafe"}) {
     Settings s = self_loading();
     s.probes = true;
@@ -217,20 +224,20 @@
     warm_up(r);
     r.request("x", 1, cls);
     r.answer(action::Send(r.sends.back()), Outcome::unreachable);
-    EXPECT_EQ(r.probes, std::vector<std::string>{"a"});
+    CHECK(r.probes == std::vector<std::string>{"a"});
     const bool once = std::string(cls) == "unsafe";
-    EXPECT_EQ(r.failed.size(), once ? 1U : 0U);
+    CHECK(r.failed.size() == (once ? 1U : 0U));
     r.pass(50);
-    EXPECT_EQ(r.sends.size(), 2U);
+    CHECK(r.sends.size() == 2U);
     r.give(event::Probed{"a", Outcome::ok, Millis(1), std::nullopt});
     r.pass(50);
-    EXPECT_EQ(r.sends.size(), once ? 2U : 3U);
+    CHECK(r.sends.size() == (once ? 2U : 3U));
   }
 }
 
 // A reset of a worker that was heard of a moment ago says that its process died: when it answers again it is
 // warming up. That the network gave up does not, with probes or without.
-TEST(Unreachable, IsNoRestart) {
+TEST_CASE("Unreachable: is no restart", "[unreachable]") {
   const auto sent_after = [](Outcome outcome, bool probes) {
     Settings s = self_loading();
     s.probes = probes;
@@ -255,9 +262,9 @@
     }
     return sent;
   };
-  EXPECT_EQ(sent_after(Outcome::unreachable, true), 30);
-  EXPECT_EQ(sent_after(Outcome::unreachable, false), 30);
-  EXPECT_LT(sent_after(Outcome::reset, false), 20);
+  CHECK(sent_after(Outcome::unreachable, true) == 30);
+  CHECK(sent_after(Outcome::unreachable, false) == 30);
+  CHECK(sent_after(Outcome::reset, false) < 20);
 }
 
 }  // namespace
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,5 +1,4 @@
-#include <gtest/gtest.h>
-
+#include <catch2/catch.hpp>
 #include <cmath>
 #include <random>
 
@@ -37,7 +36,7 @@
 std::string home(const Router& r) { return r.sends.at(0).worker; }
 
 // Failure found: with many routers each loaded its own copies anywhere. Now ids alone decide the place.
-TEST(Places, RoutersAgreeOnTheWorkerOfAFunction) {
+TEST_CASE("Places: routers agree on the worker of a function", "[places]") {
   std::set<std::string> chosen;
   for (int rank = 0; rank < 100; ++rank) {
     Settings s = settings();
@@ -47,30 +46,31 @@
     Router r(s);
     r.list({entry("a"), entry("b"), entry("c"), entry("d"), entry("e")});
     r.request("x", 42);
-    ASSERT_EQ(r.sends.size(), 1U);
+    REQUIRE(r.sends.size() == 1U);
     chosen.insert(r.sends[0].worker);
   }
-  EXPECT_EQ(chosen.size(), 1U);
+  CHECK(chosen.size() == 1U);
 }
 
 // Failure found in review: loads at a worker that a whole list left out counted as under way, so that calls
 // waited on for them past their aims.
-TEST(Lists, NothingWaitsForALoadAtAWorkerThatIsGone) {
+TEST_CASE("Lists: nothing waits for a load at a worker that is gone", "[lists]") {
   for (const bool whole : {false, true}) {
     Router r;
     r.list({entry("a")});
     r.request("x");
-    ASSERT_EQ(r.loads.size(), 1U);
+    REQUIRE(r.loads.size() == 1U);
     if (whole) r.list({});
     if (!whole) r.list({entry("a", WorkerState::gone)}, ListKind::delta);
     r.pass(1100);  // the aim is 1000
-    EXPECT_EQ(r.refused, std::vector<std::string>{"x"}) << (whole ? "whole" : "change");
-    EXPECT_FALSE(r.broken);
+    UNSCOPED_INFO((whole ? "whole" : "change"));
+    CHECK(r.refused == std::vector<std::string>{"x"});
+    CHECK_FALSE(r.broken);
   }
 }
 
 // Failure found: with 100 routers a cold worker's budget was below one call for each and it was never warmed.
-TEST(Rule4, ManyRoutersTakeTurnsAtAColdWorker) {
+TEST_CASE("Rule4: many routers take turns at a cold worker", "[rule4]") {
   double calls = 0;
   for (int rank = 0; rank < 100; ++rank) {
     Settings s = settings();
@@ -86,13 +86,13 @@
     calls += static_cast<double>(r.sends.size());
   }
   // Ten seconds in which a hundredth of a core grows from 0.16 to 0.7 of itself: 2.5 times that at the most.
-  EXPECT_GE(calls, 10);
-  EXPECT_LE(calls, 2.5 * 0.43 * 10000 / 250);
+  CHECK(calls >= 10);
+  CHECK(calls <= 2.5 * 0.43 * 10000 / 250);
 }
 
 // Failure found (rude+mass, seed 101): with warm workers at little use, a cold one got a tenth of what it
 // bears.
-TEST(Rule4, AColdWorkerGetsMoreWhereWarmOnesUseLittleOfTheirCores) {
+TEST_CASE("Rule4: a cold worker gets more where warm ones use little of their cores", "[rule4]") {
   const auto sent_to_cold = [](double use, std::size_t& probes) {
     Settings s = settings();
     s.routers = 100;
@@ -114,24 +114,24 @@
       }
       r.pass(2);
     }
-    EXPECT_FALSE(r.broken);
+    CHECK_FALSE(r.broken);
     probes = r.probes.size();
     return sent;
   };
   std::size_t probes = 0;
   const int at_full_use = sent_to_cold(1, probes);
-  EXPECT_LE(probes, 3U);  // one in 5 s, while calls are kept from a cold worker
+  CHECK(probes <= 3U);  // one in 5 s, while calls are kept from a cold worker
   const int at_half_use = sent_to_cold(0.5, probes);
-  EXPECT_GE(at_half_use, 1.5 * at_full_use);
-  EXPECT_LE(at_half_use, 2.1 * at_full_use);
+  CHECK(at_half_use >= 1.5 * at_full_use);
+  CHECK(at_half_use <= 2.1 * at_full_use);
   // The least use that is believed is a quarter, and no use at all is a report as good as any.
-  EXPECT_LE(sent_to_cold(0, probes), 4.2 * at_full_use);
-  EXPECT_GE(sent_to_cold(0, probes), at_half_use);
+  CHECK(sent_to_cold(0, probes) <= 4.2 * at_full_use);
+  CHECK(sent_to_cold(0, probes) >= at_half_use);
 }
 
 // Failure found (L05b3a2): routers that had not met a restart themselves sent the cold worker their full
 // load.
-TEST(Rule4, ALossToldByAPeerIsColdFromTheReturn) {
+TEST_CASE("Rule4: a loss told by a peer is cold from the return", "[rule4]") {
   const auto sent_after_return = [](bool told) {
     Settings s = settings();
     s.routers = 2;
@@ -150,7 +150,7 @@
     for (const auto& a : out) {
       if (const auto* tell = std::get_if<action::Tell>(&a)) news = tell->text;
     }
-    EXPECT_FALSE(news.empty());
+    CHECK_FALSE(news.empty());
     router.request("warm-up");
     router.loaded("a", 1, 1);
     for (int i = 0; i < 50; ++i) {
@@ -171,28 +171,28 @@
     }
     return router.sends.size() - before;
   };
-  EXPECT_GE(sent_after_return(false), 10U);
-  EXPECT_LE(sent_after_return(true), 5U);
+  CHECK(sent_after_return(false) >= 10U);
+  CHECK(sent_after_return(true) <= 5U);
 }
 
 // Failure found (L05b3a2): calls waited to their deadlines for lanes at a worker that turned them away.
-TEST(Ordinary, LanesAtAFullWorkerDoNotHoldCalls) {
+TEST_CASE("Ordinary: lanes at a full worker do not hold calls", "[ordinary]") {
   Settings s = settings();
   s.routers = 100;
   Router r(s);
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("first");
-  ASSERT_EQ(r.sends.size(), 1U);
+  REQUIRE(r.sends.size() == 1U);
   r.answer(r.sends[0], Outcome::ok);
   r.request("x");
-  ASSERT_EQ(r.sends.size(), 2U);
+  REQUIRE(r.sends.size() == 2U);
   r.answer(r.sends[1], Outcome::full);
-  ASSERT_EQ(r.sends.size(), 3U);
-  EXPECT_NE(r.sends[2].worker, r.sends[1].worker);
+  REQUIRE(r.sends.size() == 3U);
+  CHECK(r.sends[2].worker != r.sends[1].worker);
 }
 
 // Failure found (L05b3a2): what was given up was answered at the deadline, with no word when to come back.
-TEST(GivingUp, IsToldAtOnceWithAdviceWithinTheLimit) {
+TEST_CASE("GivingUp: is told at once with advice within the limit", "[giving-up]") {
   Settings s = settings();
   s.retry_after = true;
   s.max_retry_after = Millis(300);
@@ -202,44 +202,44 @@
     r.request("x", 1, cls);
     r.answer(r.sends.back(), Outcome::error);
     const bool refusable = std::string(cls) == "safe";
-    ASSERT_EQ(r.refused.size(), refusable ? 1U : 0U);
-    ASSERT_EQ(r.failed.size(), refusable ? 0U : 1U);
+    REQUIRE(r.refused.size() == (refusable ? 1U : 0U));
+    REQUIRE(r.failed.size() == (refusable ? 0U : 1U));
     if (!refusable) continue;
-    EXPECT_GT(r.advice.back().count(), 0);
-    EXPECT_LE(r.advice.back().count(), 300);
+    CHECK(r.advice.back().count() > 0);
+    CHECK(r.advice.back().count() <= 300);
   }
   s.retry_after = false;
   Router r(s);
   r.list({});
   r.request("x");
   r.pass(4000);
-  ASSERT_EQ(r.advice.size(), 1U);
-  EXPECT_EQ(r.advice[0].count(), 0);
+  REQUIRE(r.advice.size() == 1U);
+  CHECK(r.advice[0].count() == 0);
 }
 
-TEST(GivingUp, AHeldCallPastItsAimEndsAtOnce) {
+TEST_CASE("GivingUp: a held call past its aim ends at once", "[giving-up]") {
   Router r;
   r.list({});  // nothing can serve it
   r.request("x");
   r.pass(900);
-  EXPECT_TRUE(r.refused.empty());
+  CHECK(r.refused.empty());
   r.pass(150);
-  EXPECT_EQ(r.refused.size(), 1U);
+  CHECK(r.refused.size() == 1U);
 }
 
 // Failure found (L05b3a2): a client's later try was held as if its aim began anew.
-TEST(GivingUp, ALaterTryHasTheAimOfTheFirst) {
+TEST_CASE("GivingUp: a later try has the aim of the first", "[giving-up]") {
   Router r;
   r.list({});
   r.request("first", 1, "safe", 4000);
   r.request("later", 2, "safe", 2900);  // 1100 ms after its first try, past the aim of 1000 ms
   r.pass(30);
-  EXPECT_EQ(r.refused, std::vector<std::string>{"later"});
+  CHECK(r.refused == std::vector<std::string>{"later"});
 }
 
 // Failure found (day 3): first tries are given half of the deadline, a later one all that is left of it; once
 // one was seen, every first try was taken for a later one and refused wherever something waited.
-TEST(GivingUp, AFirstTryIsTheOneGivenWhatMostAreGiven) {
+TEST_CASE("GivingUp: a first try is the one given what most are given", "[giving-up]") {
   Router r;
   r.list({});
   for (int i = 0; i < 4; ++i) r.request(id("first", i), static_cast<std::uint64_t>(i + 1), "safe", 1900);
@@ -247,14 +247,14 @@
   r.request("last", 9, "safe", 700);
   r.request("new", 10, "safe", 1900);
   r.pass(100);
-  EXPECT_EQ(r.refused, (std::vector<std::string>{"later", "last"}));
+  CHECK(r.refused == (std::vector<std::string>{"later", "last"}));
   r.pass(1000);
-  EXPECT_EQ(r.refused.size(), 7U);
+  CHECK(r.refused.size() == 7U);
 }
 
-// Failure found (h6ac7e3): calls that met full workers overflowed on and on; their loads pushed copies out
-// for good.
-TEST(Places, CallsDoNotOverflowToTheWholeFleet) {
+// Failure found (h6ac7e3): calls that met full workers spilled on and on; their loads pushed copies out for
+// good.
+TEST_CASE("Places: calls do not spill over the whole fleet", "[places]") {
   Router r(crowd_settings());
   r.list(fleet());
   std::set<std::string> used;
@@ -268,13 +268,13 @@
     }
     r.pass(20);
   }
-  EXPECT_GE(used.size(), 2U);
-  EXPECT_LE(used.size(), 10U);
+  CHECK(used.size() >= 2U);
+  CHECK(used.size() <= 10U);
 }
 
 // Failure found (h6ac7e3): a busy router took itself for the mean one and spread its functions over all
 // workers.
-TEST(Places, ABusyRouterCountsItsShare) {
+TEST_CASE("Places: a busy router counts its share", "[places]") {
   const auto used = [](double peer_calls) {
     Settings s = crowd_settings();
     s.peers = true;
@@ -297,12 +297,12 @@
     }
     return workers.size();
   };
-  EXPECT_GE(used(0), 12U);
-  EXPECT_LE(used(2) + 3, used(0));
+  CHECK(used(0) >= 12U);
+  CHECK(used(2) + 3 <= used(0));
 }
 
 // Failure found: one class unanswered at one worker, while it served the others.
-TEST(Health, AClassThatFailsAtOneWorkerGoesElsewhere) {
+TEST_CASE("Health: a class that fails at one worker goes elsewhere", "[health]") {
   Settings s = settings();
   s.max_attempts = 5;
   Router r = warm_router(s);
@@ -315,13 +315,13 @@
     if (!r.loads.empty()) r.loaded(r.loads.back().worker, 1, 1);
     r.pass(40);
   }
-  EXPECT_GE(r.sends.size(), last);
-  EXPECT_NE(r.sends.back().worker, bad);
+  CHECK(r.sends.size() >= last);
+  CHECK(r.sends.back().worker != bad);
 }
 
 // Failure found (inc142): where answers don't tell of loads, those that waited for one counted as runs of 1.5
-// s: workers looked slowed down and warm ones were sent nothing.
-TEST(Ordinary, AnswersThatWaitedForALoadDoNotSlowDownAWorker) {
+// s: workers looked stretched and warm ones were sent nothing.
+TEST_CASE("Ordinary: answers that waited for a load do not stretch a worker", "[ordinary]") {
   Settings s = settings();
   s.routers = 100;
   s.tells_warm = false;
@@ -335,39 +335,39 @@
     r.pass(50);
   }
   const auto told = r.policy.tally();
-  EXPECT_NEAR(told.at("now.run_ms"), 100, 20);
-  EXPECT_NEAR(told.at("now.load_ms"), 1500, 150);
-  EXPECT_LE(told.at("now.sum_stretch") / told.at("now.workers"), 1.2);
+  CHECK_THAT(told.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
+  CHECK_THAT(told.at("now.load_ms"), Catch::Matchers::WithinAbs(1500.0, 150));
+  CHECK(told.at("now.sum_stretch") / told.at("now.workers") <= 1.2);
   const auto before = r.sends.size();
   r.request("x", 1, "safe");
-  EXPECT_EQ(r.sends.size(), before + 1);
+  CHECK(r.sends.size() == before + 1);
 }
 
 // Failure found (inc3048): a quiet router's one call at a worker waited for a load; the worker was taken for
 // silent, left out, and the call sent elsewhere to load there too.
-TEST(Health, AWorkerThatLoadsForItsOnlyCallIsNotSilent) {
+TEST_CASE("Health: a worker that loads for its only call is not silent", "[health]") {
   Settings s = crowd_settings();
   s.cancel = true;
   s.tells_warm = false;
   Router r(s);
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("x", 7);
-  ASSERT_EQ(r.sends.size(), 1U);
+  REQUIRE(r.sends.size() == 1U);
   r.pass(1400);  // a load takes so long
-  EXPECT_TRUE(r.cancels.empty());
-  EXPECT_EQ(r.sends.size(), 1U);
-  EXPECT_EQ(r.policy.tally().count("now.unusable") == 0 ? 0 : r.policy.tally().at("now.unusable"), 0);
+  CHECK(r.cancels.empty());
+  CHECK(r.sends.size() == 1U);
+  CHECK((r.policy.tally().count("now.unusable") == 0 ? 0 : r.policy.tally().at("now.unusable")) == 0);
   r.answer(r.sends[0], Outcome::ok, 1400, Warmth::untold);
   // One that answers nothing, not even where the copy is known to stand, is left out as before.
   r.request("y", 7);
-  ASSERT_EQ(r.sends.size(), 2U);
+  REQUIRE(r.sends.size() == 2U);
   r.pass(1000);
-  EXPECT_EQ(r.cancels.size(), 1U);
+  CHECK(r.cancels.size() == 1U);
 }
 
 // Failure found (day 6): a quiet router calls a host once in seconds, for functions that it has not seen
 // served. It took two errors of known functions to leave a failing host out, so it hardly ever did.
-TEST(Health, OneFastErrorKeepsAQuietRoutersClassAway) {
+TEST_CASE("Health: one fast error keeps a quiet router's class away", "[health]") {
   Router r(crowd_settings());
   r.list(fleet());
   std::vector<std::uint64_t> at_bad;  // functions whose place is that of function 1
@@ -380,29 +380,29 @@
     if (probe.sends.at(0).worker == bad) at_bad.push_back(f);
   }
   r.request("a", at_bad[0], "unsafe");
-  ASSERT_EQ(r.sends.back().worker, bad);
+  REQUIRE(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::error, 5);
-  EXPECT_EQ(r.failed.size(), 1U);
+  CHECK(r.failed.size() == 1U);
   r.pass(3000);
   r.request("b", at_bad[1], "unsafe");
-  EXPECT_NE(r.sends.back().worker, bad);
+  CHECK(r.sends.back().worker != bad);
   r.request("c", at_bad[2], "safe");  // the other class may do well there
-  EXPECT_EQ(r.sends.back().worker, bad);
+  CHECK(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::ok, 50);
   r.pass(2000);
   r.request("d", at_bad[3], "unsafe");  // and a host is tried again
-  EXPECT_EQ(r.sends.back().worker, bad);
+  CHECK(r.sends.back().worker == bad);
   // An error that took as long as a load may be a load that failed: that excludes nobody.
   r.request("e", 5000, "keyed");
   const std::string slow = r.sends.back().worker;
   r.answer(r.sends.back(), Outcome::error, 1200);
   r.pass(100);
   r.request("f", 5000, "keyed");
-  EXPECT_EQ(r.sends.back().worker, slow);
+  CHECK(r.sends.back().worker == slow);
 }
 
-// Failure found (inc142): four loads in ten were at a second or third host, for calls that overflowed.
-TEST(Places, ACallOverflowsToOneFurtherWorker) {
+// Failure found (inc142): four loads in ten were at a second or third host, for calls that spilled.
+TEST_CASE("Places: a call spills to one further worker", "[places]") {
   Router r(crowd_settings());
   r.list(fleet());
   std::set<std::string> used;
@@ -411,12 +411,12 @@
     used.insert(r.sends[told].worker);
     r.answer(action::Send(r.sends[told]), Outcome::full);
   }
-  EXPECT_EQ(used.size(), 2U);
+  CHECK(used.size() == 2U);
 }
 
 // Failure found (day 5): a host that came back was sent half of its usual calls though it has room for more
 // than all.
-TEST(Rule4, AColdWorkerGetsMostOfItsUsualCallsAndNoneToTipIt) {
+TEST_CASE("Rule4: a cold worker gets most of its usual calls and none to tip it", "[rule4]") {
   Settings s = settings();
   s.routers = 100;
   s.cold_from = 0.31;
@@ -442,15 +442,15 @@
   };
   sent_to("w3", 600);
   const int usual = sent_to("w3", 300);
-  ASSERT_GE(usual, 10);
+  REQUIRE(usual >= 10);
   r.list({entry("w3", WorkerState::ready, r.now.count())}, ListKind::delta);
   const int cold = sent_to("w3", 300);
-  EXPECT_GE(cold, 0.65 * usual);
-  EXPECT_LE(cold, 1.24 * usual);  // its share of a warm worker at first, times the multiple
+  CHECK(cold >= 0.65 * usual);
+  CHECK(cold <= 1.24 * usual);  // its share of a warm worker at first, times the multiple
 }
 
 // Load news of any content changes no rule and costs at most a worse choice.
-TEST(LongDay, AWorkerThatReplacesOneLongGoneIsAWorkerOfItsOwn) {
+TEST_CASE("LongDay: a worker that replaces one long gone is a worker of its own", "[long-day]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
@@ -472,14 +472,14 @@
       if (r.sends.size() > sent && r.sends.back().id == call) r.answer(r.sends.back(), Outcome::ok);
       r.pass(20);
     }
-    ASSERT_GT(r.sends.size(), sent);
-    EXPECT_EQ(r.sends.back().worker, id);
+    REQUIRE(r.sends.size() > sent);
+    CHECK(r.sends.back().worker == id);
     r.pass(45000);
   }
-  EXPECT_FALSE(r.broken);
+  CHECK_FALSE(r.broken);
 }
 
-TEST(Health, AFunctionThatNoWorkerKnowsExcludesNone) {
+TEST_CASE("Health: a function that no worker knows excludes none", "[health]") {
   Settings s = settings();
   s.miss_is_answered = true;
   Router r(s);
@@ -490,10 +490,10 @@
   }
   const auto before = r.sends.size();
   r.request("b", 1, "unsafe");
-  EXPECT_EQ(r.sends.size(), before + 1);
+  CHECK(r.sends.size() == before + 1);
 }
 
-TEST(Health, ABrokenConnectionAsksWhetherTheWorkerRuns) {
+TEST_CASE("Health: a broken connection asks whether the worker runs", "[health]") {
   for (const bool runs : {true, false}) {
     Settings s = settings();
     s.probes = s.miss_is_answered = true;
@@ -504,26 +504,26 @@
     for (const char* id : {"b", "c"}) r.request(id);
     r.answer(r.sends.at(1), Outcome::reset);  // both were on one connection
     r.answer(r.sends.at(2), Outcome::reset);
-    ASSERT_EQ(r.probes, std::vector<std::string>{"w1"});
-    EXPECT_EQ(r.sends.size(), 3U);  // nothing goes there until the probe has told
+    REQUIRE(r.probes == std::vector<std::string>{"w1"});
+    CHECK(r.sends.size() == 3U);  // nothing goes there until the probe has told
     // A probe may meet a further connection that breaks: one says no more than the other.
     for (const Outcome o : {Outcome::reset, Outcome::connect_failed, runs ? Outcome::ok : Outcome::reset}) {
       r.give(event::Probed{"w1", o, Millis(2), std::nullopt});
     }
-    EXPECT_EQ(r.probes.size(), 3U);
+    CHECK(r.probes.size() == 3U);
     r.pass(50);
-    EXPECT_EQ(r.sends.size(), runs ? 5U : 3U);
+    CHECK(r.sends.size() == (runs ? 5U : 3U));
     for (std::size_t i = 3; i < r.sends.size(); ++i) r.answer(r.sends[i], Outcome::ok);
     for (int i = 0; i < 20; ++i) {  // and it is as warm as before
       r.request("d" + std::to_string(i));
       if (runs) r.answer(r.sends.back(), Outcome::ok);
       r.pass(20);
     }
-    EXPECT_EQ(r.sends.size(), runs ? 25U : 3U);
+    CHECK(r.sends.size() == (runs ? 25U : 3U));
   }
 }
 
-TEST(Peers, AnyContentIsHarmless) {
+TEST_CASE("Peers: any content is harmless", "[peers]") {
   Settings s = settings();
   s.peers = true;
   s.routers = 3;
@@ -532,78 +532,78 @@
     r.give(event::Peer{1, text});
   r.request("x");
   r.pass(5000);
-  EXPECT_FALSE(r.broken);
-  EXPECT_EQ(r.sends.back().id, "x");
+  CHECK_FALSE(r.broken);
+  CHECK(r.sends.back().id == "x");
 }
 
-TEST(Ordinary, LoadsOnceWhenNothingIsWarm) {
+TEST_CASE("Ordinary: loads once when nothing is warm", "[ordinary]") {
   Router r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
   r.pass(100);
   r.request("y");
-  EXPECT_EQ(r.loads.size(), 1U);
+  CHECK(r.loads.size() == 1U);
   r.loaded(r.loads[0].worker, 1, 1);
-  EXPECT_EQ(r.sends.size(), 2U);
+  CHECK(r.sends.size() == 2U);
 }
 
 // E = N + 1 - L K / R with K = 2 lanes, R = 100 ms and L = min(500, aim - R) = 500 ms (as its order took): L
 // K / R is 10, so ten may wait and the eleventh starts a load.
-TEST(Ordinary, TheCreationTestCountsLanes) {
+TEST_CASE("Ordinary: the creation test counts lanes", "[ordinary]") {
   Router r = warm_router();
   r.request("l1");
   r.request("l2");
   for (int i = 1; i <= 10; ++i) r.request(id("w", i));
-  EXPECT_EQ(r.loads.size(), 1U);
+  CHECK(r.loads.size() == 1U);
   r.request("w11");
-  ASSERT_EQ(r.loads.size(), 2U);
-  EXPECT_NE(r.loads[1].worker, home(r));
+  REQUIRE(r.loads.size() == 2U);
+  CHECK(r.loads[1].worker != home(r));
 }
 
-TEST(Ordinary, LanesAtAWorkerFullOfOtherCallsAreNotCounted) {
+TEST_CASE("Ordinary: lanes at a worker full of other calls are not counted", "[ordinary]") {
   Router r;
   r.list({entry("w1")});
   for (const std::uint64_t function : {1, 2}) {
     r.request("warm" + std::to_string(function), function, "safe", 4000, 16);
     r.loaded("w1", function, 1);
-    ASSERT_EQ(r.sends.size(), function);
+    REQUIRE(r.sends.size() == function);
     r.answer(r.sends.back(), Outcome::ok);
   }
   r.list({entry("w2")}, ListKind::delta);
   for (int i = 0; i < 20; ++i) r.request("other" + std::to_string(i), 2, "safe", 4000, 16);
   const auto loads = r.loads.size(), sends = r.sends.size();
   r.request("a", 1, "safe", 4000, 16);
-  EXPECT_EQ(r.sends.size(), sends);  // its copy stands where there is no room for a further call
-  ASSERT_EQ(r.loads.size(), loads + 1);
-  EXPECT_EQ(r.loads.back().worker, "w2");
-  EXPECT_EQ(r.loads.back().function, 1U);
+  CHECK(r.sends.size() == sends);  // its copy stands where there is no room for a further call
+  REQUIRE(r.loads.size() == loads + 1);
+  CHECK(r.loads.back().worker == "w2");
+  CHECK(r.loads.back().function == 1U);
 }
 
-TEST(Ordinary, AFreedLaneTakesTheHeadOfItsQueue) {
+TEST_CASE("Ordinary: a freed lane takes the head of its queue", "[ordinary]") {
   Router r = warm_router();
   r.request("l1");
   r.request("l2");
   r.request("w1");
-  EXPECT_EQ(r.sends.size(), 3U);
+  CHECK(r.sends.size() == 3U);
   r.answer(r.sends[1], Outcome::ok);
-  ASSERT_EQ(r.sends.size(), 4U);
-  EXPECT_EQ(r.sends[3].id, "w1");
+  REQUIRE(r.sends.size() == 4U);
+  CHECK(r.sends[3].id == "w1");
 }
 
 // Failure found: calls turned away as full went out again at once, five attempts a request.
-TEST(Belief, AFullWorkerIsLeftAloneForAWhile) {
+TEST_CASE("Belief: a full worker is left alone for a while", "[belief]") {
   Router r = warm_router();
   r.request("x");
   r.answer(r.sends.back(), Outcome::full);
   const auto before = r.sends.size();
   r.pass(20);
-  EXPECT_EQ(r.sends.size(), before);
+  CHECK(r.sends.size() == before);
   r.pass(100);
-  EXPECT_EQ(r.sends.size(), before + 1);
+  CHECK(r.sends.size() == before + 1);
 }
 
 // Failure found: calls piled on a worker that served them all late.
-TEST(Belief, ASlowedDownWorkerGetsFewerCalls) {
+TEST_CASE("Belief: a stretched worker gets fewer calls", "[belief]") {
   Router r = warm_router(settings(), 16);
   for (int i = 0; i < 8; ++i) {
     r.request(id("slow", i));
@@ -612,24 +612,24 @@
   }
   const auto before = r.sends.size();
   for (int i = 0; i < 12; ++i) r.request(id("burst", i));
-  EXPECT_LE(r.sends.size(), before + 4);
+  CHECK(r.sends.size() <= before + 4);
 }
 
 // Failure found: impatient clients left and came back while workers still served what nobody waited for.
-TEST(Load, TheAttemptOfAClientThatLeftIsCalledOff) {
+TEST_CASE("Load: the attempt of a client that left is called off", "[load]") {
   Settings s = settings();
   s.cancel = true;
   Router r = warm_router(s);
   r.request("x");
   r.give(event::Left{"x"});
-  ASSERT_EQ(r.cancels.size(), 1U);
-  EXPECT_EQ(r.cancels[0].id, "x");
+  REQUIRE(r.cancels.size() == 1U);
+  CHECK(r.cancels[0].id == "x");
   r.pass(5000);
-  EXPECT_EQ(r.answered.count("x"), 0U);
+  CHECK(r.answered.count("x") == 0U);
 }
 
 // Failure found: one class failed everywhere, and workers that served the others well were excluded for it.
-TEST(Health, AClassThatFailsEverywhereExcludesNoWorker) {
+TEST_CASE("Health: a class that fails everywhere excludes no worker", "[health]") {
   Router r(settings());
   r.list({entry("a"), entry("b"), entry("c")});
   int served = 0;
@@ -643,45 +643,41 @@
       r.pass(50);
     }
   }
-  EXPECT_EQ(served, 60);
+  CHECK(served == 60);
 }
 
-class EachOutcome : public ::testing::TestWithParam<std::tuple<Outcome, std::string>> {};
-TEST_P(EachOutcome, IsFollowedAsItsSemanticsAllow) {
-  const auto [outcome, cls] = GetParam();
+TEST_CASE("EachOutcome: is followed as its semantics allow", "[each-outcome]") {
+  const Outcome outcome = GENERATE(Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
+                                   Outcome::reset, Outcome::cancelled, Outcome::moot, Outcome::miss);
+  const std::string cls = GENERATE(as<std::string>{}, "safe", "keyed", "unsafe");
+  CAPTURE(static_cast<int>(outcome), cls);
   const bool unran = outcome == Outcome::full || outcome == Outcome::connect_failed ||
                      outcome == Outcome::moot || outcome == Outcome::miss;
   Router r = warm_router();
   r.request("x", 1, cls);
   const auto before = r.sends.size();
-  ASSERT_EQ(r.sends.back().id, "x");
+  REQUIRE(r.sends.back().id == "x");
   r.answer(r.sends.back(), outcome);
   r.pass(5000);
-  EXPECT_FALSE(r.broken);
+  CHECK_FALSE(r.broken);
   if (cls == "unsafe" && !unran) {
-    EXPECT_EQ(r.sends.size(), before);
-    EXPECT_EQ(r.failed, std::vector<std::string>{"x"});
-    EXPECT_TRUE(r.refused.empty());
+    CHECK(r.sends.size() == before);
+    CHECK(r.failed == std::vector<std::string>{"x"});
+    CHECK(r.refused.empty());
   }
-  EXPECT_LE(r.legs["x"], 3);
+  CHECK(r.legs["x"] <= 3);
 }
-INSTANTIATE_TEST_SUITE_P(All, EachOutcome,
-                         ::testing::Combine(::testing::Values(Outcome::error, Outcome::full, Outcome::timeout,
-                                                              Outcome::connect_failed, Outcome::reset,
-                                                              Outcome::cancelled, Outcome::moot,
-                                                              Outcome::miss),
-                                            ::testing::Values("safe", "keyed", "unsafe")));
 
-TEST(Rule1, EveryRequestIsAnsweredInTimeWithNoWorkers) {
+TEST_CASE("Rule1: every request is answered in time with no workers", "[rule1]") {
   Router r(settings());
   r.list({});
   for (int i = 0; i < 10; ++i) r.request(id("x", i), 1, i % 2 ? "unsafe" : "safe", 500);
   r.pass(500);
-  EXPECT_EQ(r.answered.size(), 10U);
-  EXPECT_FALSE(r.broken);
+  CHECK(r.answered.size() == 10U);
+  CHECK_FALSE(r.broken);
 }
 
-TEST(Rule1, AnUnansweredAttemptOrOrderDoesNotLoseARequest) {
+TEST_CASE("Rule1: an unanswered attempt or order does not lose a request", "[rule1]") {
   for (const bool miss : {false, true}) {
     Settings s = settings();
     s.miss_is_answered = miss;
@@ -689,38 +685,38 @@
     r.request("x", 1, "unsafe");
     r.request("y", 2, "safe");
     r.pass(4000);
-    EXPECT_EQ(r.answered.count("x"), 1U);
-    EXPECT_EQ(r.answered.count("y"), 1U);
-    EXPECT_FALSE(r.broken);
+    CHECK(r.answered.count("x") == 1U);
+    CHECK(r.answered.count("y") == 1U);
+    CHECK_FALSE(r.broken);
   }
 }
 
-TEST(Rule2, AKeyedRequestIsNotRepeatedPastItsWindow) {
+TEST_CASE("Rule2: a keyed request is not repeated past its window", "[rule2]") {
   for (const double wait : {500.0, 1997.0}) {
     Router r = warm_router();
     r.request("x", 1, "keyed");
     const auto before = r.sends.size();
     r.now += Millis(wait);
     r.answer(r.sends.back(), Outcome::error);
-    EXPECT_EQ(r.sends.size() > before, wait < 1500);
-    EXPECT_EQ(r.failed.size(), wait < 1500 ? 0U : 1U);
-    EXPECT_TRUE(r.refused.empty());
+    CHECK((r.sends.size() > before) == (wait < 1500));
+    CHECK(r.failed.size() == (wait < 1500 ? 0U : 1U));
+    CHECK(r.refused.empty());
   }
 }
 
 // Within its window but past its aim it is not sent again; its scope allows the refusal.
-TEST(Rule2, AKeyedRequestPastItsAimIsRefused) {
+TEST_CASE("Rule2: a keyed request past its aim is refused", "[rule2]") {
   Router r = warm_router();
   r.request("x", 1, "keyed");
   const auto before = r.sends.size();
   r.now += Millis(1000);
   r.answer(r.sends.back(), Outcome::error);
-  EXPECT_EQ(r.sends.size(), before);
-  EXPECT_EQ(r.refused.size(), 1U);
-  EXPECT_TRUE(r.failed.empty());
+  CHECK(r.sends.size() == before);
+  CHECK(r.refused.size() == 1U);
+  CHECK(r.failed.empty());
 }
 
-TEST(Rule2, AKeyedRequestStaysInItsCell) {
+TEST_CASE("Rule2: a keyed request stays in its cell", "[rule2]") {
   Settings s = settings();
   s.classes[1].scope = KeyScope::cell;
   Router r(s);
@@ -733,12 +729,12 @@
   const auto first = r.sends.at(0).worker;
   r.answer(r.sends[0], Outcome::error);
   r.pass(4000);
-  for (const auto& send : r.sends) EXPECT_EQ(send.worker, first);
-  EXPECT_TRUE(r.refused.empty());
-  EXPECT_EQ(r.answered.size(), 1U);
+  for (const auto& send : r.sends) CHECK(send.worker == first);
+  CHECK(r.refused.empty());
+  CHECK(r.answered.size() == 1U);
 }
 
-TEST(Rule3, NothingNewGoesToADrainingOrGoneWorker) {
+TEST_CASE("Rule3: nothing new goes to a draining or gone worker", "[rule3]") {
   for (const auto state : {WorkerState::draining, WorkerState::gone}) {
     Router r = warm_router();
     const std::string out = home(r);
@@ -747,25 +743,25 @@
     const auto before = r.sends.size();
     for (int i = 0; i < 5; ++i) r.request(id("x", i));
     r.pass(3000);
-    for (auto i = before; i < r.sends.size(); ++i) EXPECT_NE(r.sends[i].worker, out);
-    ASSERT_GT(r.loads.size(), loads);
-    for (auto i = loads; i < r.loads.size(); ++i) EXPECT_NE(r.loads[i].worker, out);
+    for (auto i = before; i < r.sends.size(); ++i) CHECK(r.sends[i].worker != out);
+    REQUIRE(r.loads.size() > loads);
+    for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker != out);
   }
 }
 
-TEST(Rule3, AWorkerMissingFromAFullListIsGone) {
+TEST_CASE("Rule3: a worker missing from a full list is gone", "[rule3]") {
   Router r = warm_router();
   const std::string left = home(r) == "b" ? "c" : "b";
   const auto loads = r.loads.size();
   r.list({entry(left)});
   r.request("x");
   r.pass(3000);
-  EXPECT_EQ(r.sends.size(), 1U);
-  ASSERT_GT(r.loads.size(), loads);
-  for (auto i = loads; i < r.loads.size(); ++i) EXPECT_EQ(r.loads[i].worker, left);
+  CHECK(r.sends.size() == 1U);
+  REQUIRE(r.loads.size() > loads);
+  for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker == left);
 }
 
-TEST(Rule4, AColdWorkerIsSentALittleOnly) {
+TEST_CASE("Rule4: a cold worker is sent a little only", "[rule4]") {
   Settings s = settings();
   s.max_attempts = 5;
   Router r(s);
@@ -777,10 +773,10 @@
       r.answer(r.sends.back(), Outcome::ok, 100);
   }
   // One core, 0.16 of it, 2.5 times for a second is 400 ms of work: four calls of 100 ms.
-  EXPECT_LE(r.sends.size(), 4U);
+  CHECK(r.sends.size() <= 4U);
 }
 
-TEST(Rule5, LoadOrdersStayInsideTheRation) {
+TEST_CASE("Rule5: load orders stay inside the ration", "[rule5]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 2;
@@ -790,27 +786,27 @@
   for (int i = 0; i < 25; ++i) {
     r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
     if (!r.loads.empty()) r.loaded(r.loads.back().worker, r.loads.back().function, 1);
-    EXPECT_LE(static_cast<double>(r.loads.size()), 2 + 0.1 * (i + 1));
+    CHECK(static_cast<double>(r.loads.size()) <= 2 + 0.1 * (i + 1));
   }
-  EXPECT_GE(r.loads.size(), 3U);
+  CHECK(r.loads.size() >= 3U);
 }
 
-TEST(Store, AnOrderThatIsNeverAnsweredIsGivenUpElsewhere) {
+TEST_CASE("Store: an order that is never answered is given up elsewhere", "[store]") {
   Router r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
-  ASSERT_EQ(r.loads.size(), 1U);
+  REQUIRE(r.loads.size() == 1U);
   r.pass(3900);
-  ASSERT_GE(r.loads.size(), 2U);
+  REQUIRE(r.loads.size() >= 2U);
 }
 
-TEST(Store, LoadsOutAtOnceAreBounded) {
+TEST_CASE("Store: loads out at once are bounded", "[store]") {
   Router r(settings());
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 40; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
   r.pass(500);
-  EXPECT_GE(r.loads.size(), 2U);
-  EXPECT_LE(r.loads.size(), 12U);
+  CHECK(r.loads.size() >= 2U);
+  CHECK(r.loads.size() <= 12U);
 }
 
 // Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions
@@ -847,17 +843,17 @@
         places.push_back(std::to_string(i) + "/" + send.id.substr(tag.size()));
     }
   }
-  EXPECT_FALSE(r.broken);
+  CHECK_FALSE(r.broken);
   return places;
 }
-TEST(Names, DecideNothing) {
+TEST_CASE("Names: decide nothing", "[names]") {
   const auto plain = played("");
-  EXPECT_GT(plain.size(), 50U);
-  EXPECT_EQ(plain, played("xyzzy-"));
-  EXPECT_EQ(plain, played(""));
+  CHECK(plain.size() > 50U);
+  CHECK(plain == played("xyzzy-"));
+  CHECK(plain == played(""));
 }
 
-TEST(BadInput, BreaksNoRule) {
+TEST_CASE("BadInput: breaks no rule", "[bad-input]") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     Settings s = settings();
@@ -904,7 +900,10 @@
       }
     }
     r.pass(10000);
-    for (const auto& [name, when] : due) EXPECT_EQ(r.answered.count(name), 1U) << name << " seed " << seed;
+    for (const auto& [name, when] : due) {
+      UNSCOPED_INFO(name << " seed " << seed);
+      CHECK(r.answered.count(name) == 1U);
+    }
   }
 }
 
--- a/tests/replay/day_plan.h
+++ b/tests/replay/day_plan.h
@@ -3,7 +3,6 @@
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
-#include <ostream>
 #include <string>
 #include <vector>
 
@@ -36,9 +35,6 @@
   int peer_loss_share = 20;
 };
 
-/// How a failed test names the day.
-inline void PrintTo(const DayPlan& plan, std::ostream* out) { *out << plan.name; }
-
 /// All days, in the order in which they are played.
 std::vector<DayPlan> day_plans();
 
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -7,13 +7,11 @@
 //
 // A change that is not meant to change decisions must leave both as they are. A change that does must say why
 // in its commit, and records new values so:
-//   REPLAY_RECORD=DIR replay_tests     writes DIR/expected_days.txt and DIR/NAME.replies (to be gzip'ed with
-//   -9n)
+//   REPLAY_RECORD=DIR replay_tests     writes DIR/expected_days.txt and DIR/NAME.replies (for gzip -9n)
 // To see where two builds differ, let both write what they answer, and compare the files:
 //   REPLAY_TRACE=DIR replay_tests      writes the rounds and replies of the generated days to DIR/NAME.trace
 // Both variables only add output; the comparison is made as ever.
-#include <gtest/gtest.h>
-
+#include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
 #include <map>
@@ -51,48 +49,56 @@
   });
 }
 
-class GeneratedDay : public testing::TestWithParam<DayPlan> {};
-
-TEST_P(GeneratedDay, GivesTheSameActions) {
-  const DayPlan& plan = GetParam();
+void check_generated_day(const DayPlan& plan) {
   const std::string line = play(plan, folder_of_variable("REPLAY_TRACE")).line(plan.name);
   const std::string record_folder = folder_of_variable("REPLAY_RECORD");
   if (!record_folder.empty())
     std::ofstream(record_folder + "/expected_days.txt", std::ios::app) << line << '\n';
-  EXPECT_EQ(line, expected_days()[plan.name]);
+  CHECK(line == expected_days()[plan.name]);
 }
 
-INSTANTIATE_TEST_SUITE_P(Replay, GeneratedDay, testing::ValuesIn(day_plans()), [](const auto& day) {
-  std::string name = day.param.name;
-  for (char& letter : name)
-    if (letter == '-') letter = '_';
-  return name;
-});
+// Sections and not generated values: ctest runs each day as a process of its own, by the name of its section.
+TEST_CASE("a generated day gives the same actions", "[generated]") {
+  for (const DayPlan& plan : day_plans()) {
+    DYNAMIC_SECTION(plan.name) { check_generated_day(plan); }
+  }
+}
 
-class RecordedDay : public testing::TestWithParam<std::string> {};
+// ctest takes the names of the days from expected_days.txt.
+TEST_CASE("the expected days are the generated ones", "[days]") {
+  std::vector<std::string> generated;
+  for (const DayPlan& plan : day_plans()) generated.push_back(plan.name);
+  std::vector<std::string> expected;
+  for (const auto& [name, line] : expected_days()) expected.push_back(name);
+  CHECK_THAT(generated, Catch::Matchers::UnorderedEquals(expected));
+}
 
-TEST_P(RecordedDay, GivesTheSameActions) {
-  const std::string file = source_folder + "/data/" + GetParam();
+void check_recorded_day(const std::string& name) {
+  const std::string file = source_folder + "/data/" + name;
   const std::vector<std::string> rounds = read_gzip_lines(file + ".rounds.gz");
   const std::vector<std::string> expected = read_gzip_lines(file + ".replies.gz");
-  ASSERT_FALSE(rounds.empty());
-  ASSERT_EQ(rounds.size(), expected.size());
+  REQUIRE_FALSE(rounds.empty());
+  REQUIRE(rounds.size() == expected.size());
   const std::string record_folder = folder_of_variable("REPLAY_RECORD");
   std::ofstream recorded;
-  if (!record_folder.empty()) recorded.open(record_folder + "/" + GetParam() + ".replies");
+  if (!record_folder.empty()) recorded.open(record_folder + "/" + name + ".replies");
   simulator_adapter::Adapter adapter;
   int different = 0;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
     const std::string reply = adapter.reply(rounds[i]);
     if (recorded.is_open()) recorded << reply << '\n';
     if (reply == expected[i]) continue;
-    if (++different == 1) ADD_FAILURE() << "round " << i << ": " << reply << "\nexpected: " << expected[i];
+    if (++different == 1) FAIL_CHECK("round " << i << ": " << reply << "\nexpected: " << expected[i]);
   }
-  EXPECT_EQ(different, 0) << "rounds differ, of " << rounds.size();
+  UNSCOPED_INFO("rounds differ, of " << rounds.size());
+  CHECK(different == 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Replay, RecordedDay, testing::Values("trouble", "overload", "big"),
-                         [](const auto& day) { return day.param; });
+TEST_CASE("a recorded day gives the same actions", "[recorded]") {
+  for (const char* name : {"trouble", "overload", "big"}) {
+    DYNAMIC_SECTION(name) { check_recorded_day(name); }
+  }
+}
 
 }  // namespace
 }  // namespace pathstack::policy::replay
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-#include <gtest/gtest.h>
+#include <catch2/catch.hpp>
 
 #include "config/settings.h"
 #include "simulator_adapter/adapter.h"
@@ -17,40 +17,40 @@
          inbox + "]}]}";
 }
 
-TEST(Wire, AnswersAnEmptyBatch) {
+TEST_CASE("Wire: answers an empty batch", "[wire]") {
   Adapter adapter;
-  EXPECT_EQ(adapter.reply(R"({"Time":1,"n":7,"routers":[]})"), R"({"n":7,"routers":[]})");
+  CHECK(adapter.reply(R"({"Time":1,"n":7,"routers":[]})") == R"({"n":7,"routers":[]})");
 }
 
-TEST(Wire, CarriesARequestToAWorkerAndBack) {
+TEST_CASE("Wire: carries a request to a worker and back", "[wire]") {
   Adapter adapter;
   adapter.reply(kInit);
   const auto out = nlohmann::json::parse(
       adapter.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
   const auto& cmds = out["routers"][0]["cmds"];
-  ASSERT_EQ(cmds.size(), 2U);
-  EXPECT_EQ(cmds[0][0], "Timer");
-  EXPECT_EQ(cmds[1], nlohmann::json::array({"Assign", "t/a", "h:1", 800.0}));
+  REQUIRE(cmds.size() == 2U);
+  CHECK(cmds[0][0] == "Timer");
+  CHECK(cmds[1] == nlohmann::json::array({"Assign", "t/a", "h:1", 800.0}));
 }
 
-TEST(Wire, PassesOverTheUnknownAndTheEnded) {
+TEST_CASE("Wire: passes over the unknown and the ended", "[wire]") {
   Adapter adapter;
   adapter.reply(kInit);
   const auto out = adapter.reply(
       batch(R"(["Novelty",1],["Ring",99],["Gone","t/none"],["BroughtUp","x:1",3,"GOOD",1,1],)"
             R"(["Result","t/none",null,"GOOD",true,1,0,"h:1",null],["Sampled","GOOD",1,"q:9",[1]])"));
-  EXPECT_EQ(out, R"({"n":2,"routers":[]})");
+  CHECK(out == R"({"n":2,"routers":[]})");
 }
 
-TEST(Wire, InstancesShareNothing) {
+TEST_CASE("Wire: instances share nothing", "[wire]") {
   Adapter adapter;
   adapter.reply(kInit);
   const auto out = adapter.reply(
       R"({"Time":1010,"n":2,"routers":[{"Router":"router_1","inbox":[["Order","t/b","c",null,null,0,1,2,null,9,1]]}]})");
-  EXPECT_EQ(out, R"({"n":2,"routers":[]})");
+  CHECK(out == R"({"n":2,"routers":[]})");
 }
 
-TEST(Wire, NamesTheFaultOfAMalformedLine) {
+TEST_CASE("Wire: names the fault of a malformed line", "[wire]") {
   for (const char* line :
        {"", "nonsense", "[]", "{}", R"({"Time":1,"n":1})", R"({"Time":"x","n":1,"routers":[]})",
         R"({"Time":1,"n":1,"routers":[{}]})", R"({"Time":1,"n":1,"routers":[{"Router":"r"}]})",
@@ -58,22 +58,23 @@
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",99,[]]]}]})",
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",0,[[5]]]]}]})"}) {
     Adapter adapter;
-    EXPECT_THROW(adapter.reply(line), WireError) << line;
+    UNSCOPED_INFO(line);
+    CHECK_THROWS_AS(adapter.reply(line), WireError);
   }
 }
 
-TEST(Wire, ReadsSettingsWithTheirPlainMeanings) {
+TEST_CASE("Wire: reads settings with their plain meanings", "[wire]") {
   const auto s =
       config::read_settings(nlohmann::json::parse(R"({"LoadInfo":{"How":"pull","Fields":["queue","new"]},
       "Kinds":["p","q"],"FamilyInfo":{"MemoryMbByKind":[5,6]},"RegistryMode":"ask"})"),
                             3);
-  EXPECT_EQ(s.reports, policy::ReportMode::probe);
-  EXPECT_EQ(s.report_fields,
-            (std::vector<policy::ReportField>{policy::ReportField::queue, policy::ReportField::other}));
-  EXPECT_EQ(s.kind_memory_mb.at("q"), 6);
-  EXPECT_TRUE(s.ask_list);
-  EXPECT_EQ(s.routers, 1);
-  EXPECT_EQ(s.seed, 3U);
+  CHECK(s.reports == policy::ReportMode::probe);
+  CHECK(s.report_fields ==
+        (std::vector<policy::ReportField>{policy::ReportField::queue, policy::ReportField::other}));
+  CHECK(s.kind_memory_mb.at("q") == 6);
+  CHECK(s.ask_list);
+  CHECK(s.routers == 1);
+  CHECK(s.seed == 3U);
 }
 
 }  // namespace
