--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,4 @@
-// How a router embeds the decision module: hand in events, carry out actions.
+/// How an invoker embeds the decision module: hand in events, carry out actions.
 #include <iostream>
 
 #include "pathstack/policy.h"
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -121,7 +121,8 @@
   CHECK(function.instance_at(worker).confirmed);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an attempt that was not sent changes no belief",
+TEST_CASE_METHOD(OutcomeRecorderTest,
+                 "OutcomeRecorder: an attempt that was not sent leaves its instance known as warm",
                  "[outcome-recorder]") {
   Request& request = send();
   function.find_instance(worker)->loaded = 1;  // assumed for this attempt alone
--- a/tests/policy/policy_clock_test.cpp
+++ b/tests/policy/policy_clock_test.cpp
@@ -12,12 +12,12 @@
 std::string worker_name(int number) { return "w" + std::to_string(number); }
 
 /// Plays a day of twelve phases of 4 s on four workers. In phases 2, 5 and 8 a worker restarts, in phases 3
-/// and 9 a new one starts, in phase 6 the whole list is sent again. From `stepped_at` on the clock that
+/// and 9 a new one starts, in phase 6 the full list is sent again. From `stepped_at` on the clock that
 /// stamps starts is off by `step`. Returns what the invoker did.
 std::string play_day(int stepped_at, Millis step) {
   Settings s = settings();
   s.routers = 2;
-  Router r(s);
+  Invoker r(s);
   std::vector<WorkerEntry> entries;
   for (int i = 0; i < 4; ++i) entries.push_back(entry(worker_name(i)));
   entries[3].started = r.now - Millis(1000);
@@ -69,7 +69,7 @@
 }
 
 /// Calls sent in `seconds` at ten a second, each answered at once.
-std::size_t sent_within(Router& r, int seconds, const std::string& stem) {
+std::size_t sent_within(Invoker& r, int seconds, const std::string& stem) {
   const std::size_t before = r.sends.size();
   for (int i = 0; i < seconds * 10; ++i) {
     const std::size_t sent = r.sends.size();
@@ -83,7 +83,7 @@
 TEST_CASE("SteppedClock: a restart stamped before the last one is a restart", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a", WorkerState::ready, -20000)});
   const std::size_t usual = sent_within(r, 3, "before");
   REQUIRE(usual >= 28U);
@@ -94,7 +94,7 @@
 TEST_CASE("SteppedClock: a stamp ahead of the clock in the first list counts as now", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a", WorkerState::ready, 3600e3)});
   r.pass(s.cold_for.count());
   CHECK(sent_within(r, 3, "x") >= 28U);
@@ -105,7 +105,7 @@
 TEST_CASE("SteppedClock: starts in the events known at the start count by their stamps", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
+  Invoker r(s);
   r.now = Millis(100000);
   r.list({entry("a")}, ListKind::cached);
   r.list({entry("a", WorkerState::ready, 20000)}, ListKind::delta);
@@ -115,7 +115,7 @@
 TEST_CASE("SteppedClock: an entry without a stamp or with the same one is no restart", "[stepped-clock]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a", WorkerState::ready, -20000)});
   REQUIRE(sent_within(r, 3, "before") >= 28U);
   for (const double stamp : {0.0, -20000.0}) {
--- a/tests/policy/policy_harness.h
+++ b/tests/policy/policy_harness.h
@@ -1,4 +1,4 @@
-// What the tests share: a scripted router that checks the rules on every action.
+/// What the tests of the decision module share: settings, and an invoker that checks every action.
 #pragma once
 
 #include <map>
@@ -53,10 +53,10 @@
   return e;
 }
 
-// Plays events into one Policy and keeps what came out, by kind.
-class Router {
+/// Plays events into one Policy and keeps the actions that came out, by kind.
+class Invoker {
  public:
-  explicit Router(Settings s = settings()) { give(event::Start{std::move(s)}); }
+  explicit Invoker(Settings s = settings()) { give(event::Start{std::move(s)}); }
 
   void give(const Event& e) {
     std::vector<Action> out;
@@ -64,13 +64,13 @@
     for (auto& a : out) {
       if (const auto* send = std::get_if<action::Send>(&a)) {
         sends.push_back(*send);
-        legs[send->id]++;
+        attempts[send->id]++;
         broken = broken || answered.count(send->id) > 0;
       } else if (const auto* load = std::get_if<action::Load>(&a)) {
         if (load->copies > 0) loads.push_back(*load);
       } else if (const auto* refuse = std::get_if<action::Refuse>(&a)) {
         refused.push_back(refuse->id);
-        advice.push_back(refuse->retry_after);
+        retry_after.push_back(refuse->retry_after);
         broken = !answered.insert(refuse->id).second || broken;
       } else if (const auto* fail = std::get_if<action::Fail>(&a)) {
         failed.push_back(fail->id);
@@ -88,13 +88,13 @@
     give(event::List{kind, std::move(entries)});
   }
   void request(const std::string& id, std::uint64_t function = 1, const std::string& cls = "safe",
-               double expires = 4000, int lanes = 2) {
+               double expires = 4000, int slots = 2) {
     event::Request r;
     r.id = id;
     r.class_name = cls;
     r.function = function;
     r.memory_mb = memory_mb;
-    r.lanes = lanes;
+    r.lanes = slots;
     r.load_hint = Millis(1000);
     r.expires_in = Millis(expires);
     give(r);
@@ -104,7 +104,7 @@
     event::Answer a;
     a.id = send.id;
     a.worker = send.worker;
-    a.attempt = legs[send.id] - 1;
+    a.attempt = attempts[send.id] - 1;
     a.outcome = outcome;
     a.warmth = warmth;
     a.over = outcome == Outcome::ok;
@@ -112,10 +112,11 @@
     a.elapsed = Millis(elapsed);
     give(a);
   }
-  void loaded(const std::string& worker, std::uint64_t function, int copies, Outcome outcome = Outcome::ok) {
-    give(event::Loaded{worker, function, outcome, Millis(500), copies});
+  void loaded(const std::string& worker, std::uint64_t function, int instances,
+              Outcome outcome = Outcome::ok) {
+    give(event::Loaded{worker, function, outcome, Millis(500), instances});
   }
-  // Lets time pass, ringing each timer when it is due.
+  /// Lets time pass and gives each timer when it is due.
   void pass(double ms) {
     const double until = now.count() + ms;
     while (!timers.empty() && timers.begin()->first <= until) {
@@ -130,14 +131,14 @@
   Policy policy;
   Millis now{1000};
   double memory_mb = 500;
-  bool broken = false;
+  bool broken = false;  // a request was answered twice, or sent after its answer
   std::vector<action::Send> sends;
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
   std::vector<std::string> refused, failed, probes;
-  std::vector<Millis> advice;  // beside each refusal
+  std::vector<Millis> retry_after;  // beside each id in `refused`
   std::set<std::string> answered;
-  std::map<std::string, int> legs;
+  std::map<std::string, int> attempts;
   std::multimap<double, std::uint64_t> timers;
 };
 
--- a/tests/policy/policy_local_fault_test.cpp
+++ b/tests/policy/policy_local_fault_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes that tell of this machine or of the network, and not of the worker: not_sent and unreachable.
+// Outcomes that come from this machine or of the network, and not of the worker: not_sent and unreachable.
 #include <catch2/catch.hpp>
 
 #include "policy_harness.h"
@@ -13,7 +13,7 @@
   return s;
 }
 
-void warm_up(Router& r, const std::string& id = "first") {
+void warm_up(Invoker& r, const std::string& id = "first") {
   r.request(id);
   r.answer(action::Send(r.sends.back()), Outcome::ok);
 }
@@ -22,7 +22,7 @@
   for (const char* cls : {"safe", "keyed", "unsafe"}) {
     Settings s = self_loading();
     s.max_attempts = 1;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a"), entry("b")});
     r.request("x", 1, cls);
     REQUIRE(r.sends.size() == 1U);
@@ -39,7 +39,7 @@
 TEST_CASE("NotSent: goes to the only worker after a backoff", "[not-sent]") {
   Settings s = self_loading();
   s.max_attempts = 1;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a")});
   warm_up(r);
   r.request("x");
@@ -50,13 +50,13 @@
   CHECK(r.sends[2].id == "x");
 }
 
-// A worker is judged by none of them: it is not ejected, asked for or taken for silent or stretched.
+// A worker is judged by none of them: it is not ejected, probed, or taken for silent or slowed down.
 TEST_CASE("NotSent: says nothing of the worker", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
   s.peers = true;
   s.routers = 2;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a")});
   warm_up(r);
   const auto before = r.policy.tally();
@@ -78,7 +78,7 @@
 
 // A worker that answers nothing is as silent as before, though calls to it fail to leave meanwhile.
 TEST_CASE("NotSent: is no sign of life", "[not-sent]") {
-  Router r(self_loading());
+  Invoker r(self_loading());
   r.list({entry("a")});
   warm_up(r);
   r.request("out");
@@ -93,7 +93,7 @@
 
 TEST_CASE("NotSent: returns what it took of the budget of a warming worker", "[not-sent]") {
   const auto served = [](int faults) {
-    Router r(self_loading());
+    Invoker r(self_loading());
     r.list({entry("a", WorkerState::ready, 990)});
     int ok = 0;
     for (std::size_t i = 0, seen = 0; i < 100; ++i) {
@@ -116,7 +116,7 @@
   for (const bool shared : {false, true}) {
     Settings s = self_loading();
     if (shared) s.routers = 100;
-    Router r(s);
+    Invoker r(s);
     std::vector<WorkerEntry> workers;
     for (int i = 0; i < 40; ++i) workers.push_back(entry("w" + std::to_string(i)));
     r.list(workers);
@@ -127,7 +127,7 @@
         r.answer(action::Send(r.sends[answered]), Outcome::not_sent, 0);
       }
     }
-    // Each request lives for its aim of 1000 ms and is sent three times in each 40 ms at most.
+    // Each request lives for its latency objective of 1000 ms and is sent three times in each 40 ms at most.
     CHECK(r.sends.size() <= kRequests * 3U * 26U);
     CHECK(r.sends.size() >= kRequests * 10U);
     CHECK(r.refused.size() == static_cast<std::size_t>(kRequests));
@@ -135,12 +135,12 @@
   }
 }
 
-TEST_CASE("NotSent: an order is given again after a backoff and takes nothing from the ration",
+TEST_CASE("NotSent: an order is given again after a backoff and takes nothing from the load budget",
           "[not-sent]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 1;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a")});
   r.request("x");
   REQUIRE(r.loads.size() == 1U);
@@ -155,8 +155,8 @@
   CHECK(r.sends.size() == 1U);
 }
 
-TEST_CASE("NotSent: an order changes no belief", "[not-sent]") {
-  Router r;
+TEST_CASE("NotSent: an order leaves its instance known as warm", "[not-sent]") {
+  Invoker r;
   r.list({entry("a")});
   r.request("x", 1, "safe", 4000, 1);
   r.loaded("a", 1, 1);
@@ -173,7 +173,7 @@
   for (const Outcome then : {Outcome::ok, Outcome::reset}) {
     Settings s = self_loading();
     s.probes = true;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a")});
     warm_up(r);
     r.request("x");
@@ -198,10 +198,10 @@
   }
 }
 
-TEST_CASE("NotSent: a plain probe tells nothing", "[not-sent]") {
+TEST_CASE("NotSent: a probe that did not leave says nothing", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a")});
   warm_up(r);
   r.pass(2000);  // it has not answered for so long that a failed probe would count as a loss
@@ -219,7 +219,7 @@
   for (const char* cls : {"safe", "unsafe"}) {
     Settings s = self_loading();
     s.probes = true;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a")});
     warm_up(r);
     r.request("x", 1, cls);
@@ -235,13 +235,13 @@
   }
 }
 
-// A reset of a worker that was heard of a moment ago says that its process died: when it answers again it is
+// A reset of a worker that answered a moment ago says that its process died: when it answers again it is
 // warming up. That the network gave up does not, with probes or without.
 TEST_CASE("Unreachable: is no restart", "[unreachable]") {
   const auto sent_after = [](Outcome outcome, bool probes) {
     Settings s = self_loading();
     s.probes = probes;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a")});
     warm_up(r);
     r.pass(2000);
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -15,8 +15,8 @@
   return workers;
 }
 
-// One of many routers; a load takes longer than any aim.
-Settings crowd_settings() {
+// One of many invokers; a load takes longer than any latency objective.
+Settings large_tier_settings() {
   Settings s = settings();
   s.routers = 100;
   s.max_attempts = 50;
@@ -24,26 +24,27 @@
   return s;
 }
 
-// A router that has function 1 standing at home(), with R = 100 ms.
-Router warm_router(Settings s = settings(), int copies = 1) {
-  Router r(std::move(s));
+// An invoker that has function 1 warm at home(), with R = 100 ms.
+Invoker warm_invoker(Settings s = settings(), int instances = 1) {
+  Invoker r(std::move(s));
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("first");
-  if (!r.loads.empty()) r.loaded(r.loads[0].worker, 1, copies);
+  if (!r.loads.empty()) r.loaded(r.loads[0].worker, 1, instances);
   if (!r.sends.empty()) r.answer(r.sends.back(), Outcome::ok);
   return r;
 }
-std::string home(const Router& r) { return r.sends.at(0).worker; }
+std::string home(const Invoker& r) { return r.sends.at(0).worker; }
 
-// Failure found: with many routers each loaded its own copies anywhere. Now ids alone decide the place.
-TEST_CASE("Places: routers agree on the worker of a function", "[places]") {
+// Failure found: with many invokers each loaded its own instances anywhere. Now ids alone decide the
+// placement.
+TEST_CASE("placement: invokers agree on the worker of a function", "[policy][placement]") {
   std::set<std::string> chosen;
   for (int rank = 0; rank < 100; ++rank) {
     Settings s = settings();
     s.routers = 100;
     s.rank = rank;
     s.seed = static_cast<std::uint64_t>(rank);
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a"), entry("b"), entry("c"), entry("d"), entry("e")});
     r.request("x", 42);
     REQUIRE(r.sends.size() == 1U);
@@ -52,32 +53,32 @@
   CHECK(chosen.size() == 1U);
 }
 
-// Failure found in review: loads at a worker that a whole list left out counted as under way, so that calls
-// waited on for them past their aims.
-TEST_CASE("Lists: nothing waits for a load at a worker that is gone", "[lists]") {
-  for (const bool whole : {false, true}) {
-    Router r;
+// Failure found in review: loads at a worker that a full list left out counted as under way, so that calls
+// waited on for them past their latency objectives.
+TEST_CASE("endpoint list: nothing waits for a load at a worker that is gone", "[policy][endpoint-list]") {
+  for (const bool full : {false, true}) {
+    Invoker r;
     r.list({entry("a")});
     r.request("x");
     REQUIRE(r.loads.size() == 1U);
-    if (whole) r.list({});
-    if (!whole) r.list({entry("a", WorkerState::gone)}, ListKind::delta);
-    r.pass(1100);  // the aim is 1000
-    UNSCOPED_INFO((whole ? "whole" : "change"));
+    if (full) r.list({});
+    if (!full) r.list({entry("a", WorkerState::gone)}, ListKind::delta);
+    r.pass(1100);  // the latency objective is 1000
+    UNSCOPED_INFO((full ? "full" : "delta"));
     CHECK(r.refused == std::vector<std::string>{"x"});
     CHECK_FALSE(r.broken);
   }
 }
 
-// Failure found: with 100 routers a cold worker's budget was below one call for each and it was never warmed.
-TEST_CASE("Rule4: many routers take turns at a cold worker", "[rule4]") {
+// Failure found: with 100 invokers a warming worker's budget was below one call for each, and none was sent.
+TEST_CASE("slow start: many invokers take turns at a warming worker", "[policy][slow-start]") {
   double calls = 0;
   for (int rank = 0; rank < 100; ++rank) {
     Settings s = settings();
     s.routers = 100;
     s.rank = rank;
     s.seed = static_cast<std::uint64_t>(rank) + 1;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("a", WorkerState::ready, 990)});
     for (int i = 0; i < 20; ++i) {
       r.request(id("x", i), 1, "safe", 450);
@@ -90,16 +91,17 @@
   CHECK(calls <= 2.5 * 0.43 * 10000 / 250);
 }
 
-// Failure found (rude+mass, seed 101): with warm workers at little use, a cold one got a tenth of what it
-// bears.
-TEST_CASE("Rule4: a cold worker gets more where warm ones use little of their cores", "[rule4]") {
-  const auto sent_to_cold = [](double use, std::size_t& probes) {
+// Failure found (rude+mass, seed 101): with warm workers at little use, a warming one got a tenth of what
+// it bears.
+TEST_CASE("slow start: a warming worker gets more where warm ones use little of their cores",
+          "[policy][slow-start]") {
+  const auto sent_to_warming = [](double use, std::size_t& probes) {
     Settings s = settings();
     s.routers = 100;
     s.probes = true;
     s.reports = ReportMode::probe;
     s.report_fields = {ReportField::utilisation};
-    Router r(s);
+    Invoker r(s);
     r.list({entry("w0"), entry("w1"), entry("w2"), entry("w3", WorkerState::ready, 990)});
     int sent = 0;
     std::size_t seen = 0, probed = 0;
@@ -119,67 +121,67 @@
     return sent;
   };
   std::size_t probes = 0;
-  const int at_full_use = sent_to_cold(1, probes);
-  CHECK(probes <= 3U);  // one in 5 s, while calls are kept from a cold worker
-  const int at_half_use = sent_to_cold(0.5, probes);
+  const int at_full_use = sent_to_warming(1, probes);
+  CHECK(probes <= 3U);  // one in 5 s, while calls are kept from a warming worker
+  const int at_half_use = sent_to_warming(0.5, probes);
   CHECK(at_half_use >= 1.5 * at_full_use);
   CHECK(at_half_use <= 2.1 * at_full_use);
   // The least use that is believed is a quarter, and no use at all is a report as good as any.
-  CHECK(sent_to_cold(0, probes) <= 4.2 * at_full_use);
-  CHECK(sent_to_cold(0, probes) >= at_half_use);
+  CHECK(sent_to_warming(0, probes) <= 4.2 * at_full_use);
+  CHECK(sent_to_warming(0, probes) >= at_half_use);
 }
 
-// Failure found (L05b3a2): routers that had not met a restart themselves sent the cold worker their full
+// Failure found (L05b3a2): invokers that had not met a restart themselves sent the warming worker their full
 // load.
-TEST_CASE("Rule4: a loss told by a peer is cold from the return", "[rule4]") {
-  const auto sent_after_return = [](bool told) {
+TEST_CASE("slow start: a worker that a peer reported down warms up from its return", "[policy][slow-start]") {
+  const auto sent_after_return = [](bool reported) {
     Settings s = settings();
     s.routers = 2;
     s.peers = true;
-    Router router(s);
-    router.list({entry("a")});
-    std::string news;
+    Invoker invoker(s);
+    invoker.list({entry("a")});
+    std::string report;
     std::vector<Action> out;
     Policy peer;
     s.rank = 1;
-    peer.handle(router.now, event::Start{s}, out);
-    peer.handle(router.now, event::List{ListKind::full, {entry("a")}}, out);
+    peer.handle(invoker.now, event::Start{s}, out);
+    peer.handle(invoker.now, event::List{ListKind::full, {entry("a")}}, out);
     out.clear();
     event::Probed lost{"a", Outcome::connect_failed, Millis(250), {}};
-    peer.handle(router.now, lost, out);
+    peer.handle(invoker.now, lost, out);
     for (const auto& a : out) {
-      if (const auto* tell = std::get_if<action::Tell>(&a)) news = tell->text;
+      if (const auto* tell = std::get_if<action::Tell>(&a)) report = tell->text;
     }
-    CHECK_FALSE(news.empty());
-    router.request("warm-up");
-    router.loaded("a", 1, 1);
+    CHECK_FALSE(report.empty());
+    invoker.request("warm-up");
+    invoker.loaded("a", 1, 1);
     for (int i = 0; i < 50; ++i) {
-      if (!router.sends.empty()) router.answer(router.sends.back(), Outcome::ok);
-      router.request(id("before", i));
-      router.pass(100);
+      if (!invoker.sends.empty()) invoker.answer(invoker.sends.back(), Outcome::ok);
+      invoker.request(id("before", i));
+      invoker.pass(100);
     }
-    router.answer(router.sends.back(), Outcome::ok);
-    router.pass(3000);
-    if (told) router.give(event::Peer{1, news});
-    router.pass(4000);
-    router.give(event::Probed{"a", Outcome::ok, Millis(1), {}});
-    const auto before = router.sends.size();
+    invoker.answer(invoker.sends.back(), Outcome::ok);
+    invoker.pass(3000);
+    if (reported) invoker.give(event::Peer{1, report});
+    invoker.pass(4000);
+    invoker.give(event::Probed{"a", Outcome::ok, Millis(1), {}});
+    const auto before = invoker.sends.size();
     for (int i = 0; i < 10; ++i) {
-      router.request(id("after", i));
-      router.pass(100);
-      if (router.sends.size() > before) router.answer(router.sends.back(), Outcome::ok);
+      invoker.request(id("after", i));
+      invoker.pass(100);
+      if (invoker.sends.size() > before) invoker.answer(invoker.sends.back(), Outcome::ok);
     }
-    return router.sends.size() - before;
+    return invoker.sends.size() - before;
   };
   CHECK(sent_after_return(false) >= 10U);
   CHECK(sent_after_return(true) <= 5U);
 }
 
-// Failure found (L05b3a2): calls waited to their deadlines for lanes at a worker that turned them away.
-TEST_CASE("Ordinary: lanes at a full worker do not hold calls", "[ordinary]") {
+// Failure found (L05b3a2): calls waited to their deadlines for slots at a worker that rejected them.
+TEST_CASE("scheduler: slots at a full worker keep no calls queued", "[policy][scheduler]") {
   Settings s = settings();
   s.routers = 100;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("first");
   REQUIRE(r.sends.size() == 1U);
@@ -191,34 +193,34 @@
   CHECK(r.sends[2].worker != r.sends[1].worker);
 }
 
-// Failure found (L05b3a2): what was given up was answered at the deadline, with no word when to come back.
-TEST_CASE("GivingUp: is told at once with advice within the limit", "[giving-up]") {
+// Failure found (L05b3a2): what was given up was answered at the deadline, without a Retry-After.
+TEST_CASE("giving up: is answered at once with a Retry-After within the limit", "[policy][giving-up]") {
   Settings s = settings();
   s.retry_after = true;
   s.max_retry_after = Millis(300);
   s.max_attempts = 1;
   for (const char* cls : {"safe", "unsafe"}) {
-    Router r = warm_router(s);
+    Invoker r = warm_invoker(s);
     r.request("x", 1, cls);
     r.answer(r.sends.back(), Outcome::error);
     const bool refusable = std::string(cls) == "safe";
     REQUIRE(r.refused.size() == (refusable ? 1U : 0U));
     REQUIRE(r.failed.size() == (refusable ? 0U : 1U));
     if (!refusable) continue;
-    CHECK(r.advice.back().count() > 0);
-    CHECK(r.advice.back().count() <= 300);
+    CHECK(r.retry_after.back().count() > 0);
+    CHECK(r.retry_after.back().count() <= 300);
   }
   s.retry_after = false;
-  Router r(s);
+  Invoker r(s);
   r.list({});
   r.request("x");
   r.pass(4000);
-  REQUIRE(r.advice.size() == 1U);
-  CHECK(r.advice[0].count() == 0);
+  REQUIRE(r.retry_after.size() == 1U);
+  CHECK(r.retry_after[0].count() == 0);
 }
 
-TEST_CASE("GivingUp: a held call past its aim ends at once", "[giving-up]") {
-  Router r;
+TEST_CASE("giving up: a queued call past its latency objective ends at once", "[policy][giving-up]") {
+  Invoker r;
   r.list({});  // nothing can serve it
   r.request("x");
   r.pass(900);
@@ -227,20 +229,20 @@
   CHECK(r.refused.size() == 1U);
 }
 
-// Failure found (L05b3a2): a client's later try was held as if its aim began anew.
-TEST_CASE("GivingUp: a later try has the aim of the first", "[giving-up]") {
-  Router r;
+// Failure found (L05b3a2): a client's retry was queued as if its latency objective began anew.
+TEST_CASE("giving up: a retry has the latency objective of the first attempt", "[policy][giving-up]") {
+  Invoker r;
   r.list({});
   r.request("first", 1, "safe", 4000);
-  r.request("later", 2, "safe", 2900);  // 1100 ms after its first try, past the aim of 1000 ms
+  r.request("later", 2, "safe", 2900);  // 1100 ms after its first attempt, past the objective of 1000 ms
   r.pass(30);
   CHECK(r.refused == std::vector<std::string>{"later"});
 }
 
-// Failure found (day 3): first tries are given half of the deadline, a later one all that is left of it; once
-// one was seen, every first try was taken for a later one and refused wherever something waited.
-TEST_CASE("GivingUp: a first try is the one given what most are given", "[giving-up]") {
-  Router r;
+// Failure found (day 3): first attempts are given half of the deadline, a retry all that is left of it; once
+// one was seen, every first attempt was taken for a retry and refused wherever something waited.
+TEST_CASE("giving up: a first attempt is one with the deadline that most have", "[policy][giving-up]") {
+  Invoker r;
   r.list({});
   for (int i = 0; i < 4; ++i) r.request(id("first", i), static_cast<std::uint64_t>(i + 1), "safe", 1900);
   r.request("later", 8, "safe", 2980);
@@ -252,18 +254,18 @@
   CHECK(r.refused.size() == 7U);
 }
 
-// Failure found (h6ac7e3): calls that met full workers spilled on and on; their loads pushed copies out for
-// good.
-TEST_CASE("Places: calls do not spill over the whole fleet", "[places]") {
-  Router r(crowd_settings());
+// Failure found (h6ac7e3): calls that met full workers overflowed to further ones without end; their loads
+// evicted instances for good.
+TEST_CASE("placement: calls do not overflow to the whole fleet", "[policy][placement]") {
+  Invoker r(large_tier_settings());
   r.list(fleet());
   std::set<std::string> used;
-  std::size_t told = 0;
+  std::size_t seen = 0;
   for (int i = 0; i < 900; ++i) {
     if (i % 30 == 0) r.request(id("x", i));
-    while (told < r.sends.size()) {
-      used.insert(r.sends[told].worker);
-      const auto send = r.sends[told++];
+    while (seen < r.sends.size()) {
+      used.insert(r.sends[seen].worker);
+      const auto send = r.sends[seen++];
       r.answer(send, Outcome::full);
     }
     r.pass(20);
@@ -272,25 +274,25 @@
   CHECK(used.size() <= 10U);
 }
 
-// Failure found (h6ac7e3): a busy router took itself for the mean one and spread its functions over all
+// Failure found (h6ac7e3): a busy invoker took itself for the mean one and spread its functions over all
 // workers.
-TEST_CASE("Places: a busy router counts its share", "[places]") {
+TEST_CASE("placement: a busy invoker counts its share", "[policy][placement]") {
   const auto used = [](double peer_calls) {
-    Settings s = crowd_settings();
+    Settings s = large_tier_settings();
     s.peers = true;
-    Router r(s);
+    Invoker r(s);
     r.list(fleet());
     std::set<std::string> workers;
-    std::size_t told = 0;
+    std::size_t seen = 0;
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0 && peer_calls > 0) {
         const auto level = static_cast<char>('0' + std::lround(4 * std::log2(peer_calls)));
         r.give(event::Peer{1, std::string("!!!") + level});
       }
       r.request(id("x", i));
-      while (told < r.sends.size()) {
-        workers.insert(r.sends[told].worker);
-        const auto send = r.sends[told++];
+      while (seen < r.sends.size()) {
+        workers.insert(r.sends[seen].worker);
+        const auto send = r.sends[seen++];
         r.answer(send, i < 200 ? Outcome::ok : Outcome::full);  // then all are full
       }
       r.pass(20);
@@ -302,10 +304,10 @@
 }
 
 // Failure found: one class unanswered at one worker, while it served the others.
-TEST_CASE("Health: a class that fails at one worker goes elsewhere", "[health]") {
+TEST_CASE("outlier: a class that fails at one worker goes elsewhere", "[policy][outlier]") {
   Settings s = settings();
   s.max_attempts = 5;
-  Router r = warm_router(s);
+  Invoker r = warm_invoker(s);
   const std::string bad = home(r);
   std::size_t last = 0;
   for (int i = 0; i < 4; ++i) {
@@ -320,12 +322,13 @@
 }
 
 // Failure found (inc142): where answers don't tell of loads, those that waited for one counted as runs of 1.5
-// s: workers looked stretched and warm ones were sent nothing.
-TEST_CASE("Ordinary: answers that waited for a load do not stretch a worker", "[ordinary]") {
+// s: workers looked slowed down and warm ones were sent nothing.
+TEST_CASE("concurrency limit: answers that waited for a load are no slowdown",
+          "[policy][concurrency-limit]") {
   Settings s = settings();
   s.routers = 100;
   s.tells_warm = false;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a"), entry("b"), entry("c")});
   for (int i = 0; i < 12; ++i) {  // runs of 100 ms, but each function's first call waits for its load
     r.request(id("first", i), static_cast<std::uint64_t>(i + 1));
@@ -334,22 +337,22 @@
     r.answer(r.sends.back(), Outcome::ok, 100, Warmth::untold);
     r.pass(50);
   }
-  const auto told = r.policy.tally();
-  CHECK_THAT(told.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
-  CHECK_THAT(told.at("now.load_ms"), Catch::Matchers::WithinAbs(1500.0, 150));
-  CHECK(told.at("now.sum_stretch") / told.at("now.workers") <= 1.2);
+  const auto tally = r.policy.tally();
+  CHECK_THAT(tally.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
+  CHECK_THAT(tally.at("now.load_ms"), Catch::Matchers::WithinAbs(1500.0, 150));
+  CHECK(tally.at("now.sum_stretch") / tally.at("now.workers") <= 1.2);
   const auto before = r.sends.size();
   r.request("x", 1, "safe");
   CHECK(r.sends.size() == before + 1);
 }
 
-// Failure found (inc3048): a quiet router's one call at a worker waited for a load; the worker was taken for
+// Failure found (inc3048): a quiet invoker's one call at a worker waited for a load; the worker was taken for
 // silent, left out, and the call sent elsewhere to load there too.
-TEST_CASE("Health: a worker that loads for its only call is not silent", "[health]") {
-  Settings s = crowd_settings();
+TEST_CASE("outlier: a worker that loads for its only call is not silent", "[policy][outlier]") {
+  Settings s = large_tier_settings();
   s.cancel = true;
   s.tells_warm = false;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("x", 7);
   REQUIRE(r.sends.size() == 1U);
@@ -358,22 +361,22 @@
   CHECK(r.sends.size() == 1U);
   CHECK((r.policy.tally().count("now.unusable") == 0 ? 0 : r.policy.tally().at("now.unusable")) == 0);
   r.answer(r.sends[0], Outcome::ok, 1400, Warmth::untold);
-  // One that answers nothing, not even where the copy is known to stand, is left out as before.
+  // One that answers nothing, not even where the instance is known to be warm, is left out as before.
   r.request("y", 7);
   REQUIRE(r.sends.size() == 2U);
   r.pass(1000);
   CHECK(r.cancels.size() == 1U);
 }
 
-// Failure found (day 6): a quiet router calls a host once in seconds, for functions that it has not seen
-// served. It took two errors of known functions to leave a failing host out, so it hardly ever did.
-TEST_CASE("Health: one fast error keeps a quiet router's class away", "[health]") {
-  Router r(crowd_settings());
+// Failure found (day 6): a quiet invoker calls a worker once in seconds, for functions that it has not seen
+// served. It took two errors of known functions to leave a failing worker out, so it hardly ever did.
+TEST_CASE("outlier: one fast error ejects a worker for a class at a quiet invoker", "[policy][outlier]") {
+  Invoker r(large_tier_settings());
   r.list(fleet());
-  std::vector<std::uint64_t> at_bad;  // functions whose place is that of function 1
+  std::vector<std::uint64_t> at_bad;  // functions with the placement of function 1
   std::string bad;
   for (std::uint64_t f = 1; at_bad.size() < 4; ++f) {
-    Router probe(crowd_settings());
+    Invoker probe(large_tier_settings());
     probe.list(fleet());
     probe.request("x", f);
     if (bad.empty()) bad = probe.sends.at(0).worker;
@@ -390,7 +393,7 @@
   CHECK(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::ok, 50);
   r.pass(2000);
-  r.request("d", at_bad[3], "unsafe");  // and a host is tried again
+  r.request("d", at_bad[3], "unsafe");  // and a worker is tried again
   CHECK(r.sends.back().worker == bad);
   // An error that took as long as a load may be a load that failed: that excludes nobody.
   r.request("e", 5000, "keyed");
@@ -401,40 +404,41 @@
   CHECK(r.sends.back().worker == slow);
 }
 
-// Failure found (inc142): four loads in ten were at a second or third host, for calls that spilled.
-TEST_CASE("Places: a call spills to one further worker", "[places]") {
-  Router r(crowd_settings());
+// Failure found (inc142): four loads in ten were at a second or third worker, for calls that overflowed.
+TEST_CASE("placement: a call overflows to one further worker", "[policy][placement]") {
+  Invoker r(large_tier_settings());
   r.list(fleet());
   std::set<std::string> used;
   r.request("x");
-  for (std::size_t told = 0; told < r.sends.size(); ++told) {
-    used.insert(r.sends[told].worker);
-    r.answer(action::Send(r.sends[told]), Outcome::full);
+  for (std::size_t seen = 0; seen < r.sends.size(); ++seen) {
+    used.insert(r.sends[seen].worker);
+    r.answer(action::Send(r.sends[seen]), Outcome::full);
   }
   CHECK(used.size() == 2U);
 }
 
-// Failure found (day 5): a host that came back was sent half of its usual calls though it has room for more
+// Failure found (day 5): a worker that came back was sent half of its usual calls though it has room for more
 // than all.
-TEST_CASE("Rule4: a cold worker gets most of its usual calls and none to tip it", "[rule4]") {
+TEST_CASE("slow start: a warming worker gets most of its usual calls and no overload",
+          "[policy][slow-start]") {
   Settings s = settings();
   s.routers = 100;
   s.cold_from = 0.31;
   s.cold_multiple = 4;
-  Router r(s);
+  Invoker r(s);
   std::vector<WorkerEntry> workers;
   for (int i = 0; i < 10; ++i) workers.push_back(entry(id("w", i)));
   r.list(workers);
-  std::size_t told = 0;
+  std::size_t seen = 0;
   std::uint64_t calls = 0;  // each of a function of its own: what has moved elsewhere stays there for a while
   const auto sent_to = [&](const std::string& worker, int rounds) {
     int sent = 0;
     for (int i = 0; i < rounds; ++i) {
       ++calls;
       r.request(id("x", static_cast<int>(calls)), calls);
-      for (; told < r.sends.size(); ++told) {
-        sent += r.sends[told].worker == worker;
-        r.answer(action::Send(r.sends[told]), Outcome::ok, 80);
+      for (; seen < r.sends.size(); ++seen) {
+        sent += r.sends[seen].worker == worker;
+        r.answer(action::Send(r.sends[seen]), Outcome::ok, 80);
       }
       r.pass(10);
     }
@@ -444,17 +448,17 @@
   const int usual = sent_to("w3", 300);
   REQUIRE(usual >= 10);
   r.list({entry("w3", WorkerState::ready, r.now.count())}, ListKind::delta);
-  const int cold = sent_to("w3", 300);
-  CHECK(cold >= 0.65 * usual);
-  CHECK(cold <= 1.24 * usual);  // its share of a warm worker at first, times the multiple
+  const int warming = sent_to("w3", 300);
+  CHECK(warming >= 0.65 * usual);
+  CHECK(warming <= 1.24 * usual);  // its share of a warm worker at first, times the multiple
 }
 
-// Load news of any content changes no rule and costs at most a worse choice.
-TEST_CASE("LongDay: a worker that replaces one long gone is a worker of its own", "[long-day]") {
+TEST_CASE("endpoint list: a worker that replaces one long gone is a worker of its own",
+          "[policy][endpoint-list]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
-  for (int day = 0; day < 40; ++day) {  // each takes the place of one that went two before
+  Invoker r(s);
+  for (int day = 0; day < 40; ++day) {  // each takes the index of one that went two before
     const std::string id = "w" + std::to_string(day);
     r.list({entry(id, WorkerState::ready, day == 0 ? 0 : r.now.count())}, ListKind::delta);
     if (day > 0) {
@@ -479,10 +483,10 @@
   CHECK_FALSE(r.broken);
 }
 
-TEST_CASE("Health: a function that no worker knows excludes none", "[health]") {
+TEST_CASE("outlier: a function that no worker knows excludes none", "[policy][outlier]") {
   Settings s = settings();
   s.miss_is_answered = true;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("w1")});
   for (int i = 0; i < 6; ++i) {
     r.request("a" + std::to_string(i), 99, "unsafe");
@@ -493,11 +497,11 @@
   CHECK(r.sends.size() == before + 1);
 }
 
-TEST_CASE("Health: a broken connection asks whether the worker runs", "[health]") {
+TEST_CASE("outlier: a broken connection probes whether the worker runs", "[policy][outlier]") {
   for (const bool runs : {true, false}) {
     Settings s = settings();
     s.probes = s.miss_is_answered = true;
-    Router r(s);
+    Invoker r(s);
     r.list({entry("w1")});
     r.request("a");
     r.answer(r.sends.at(0), Outcome::ok);
@@ -505,7 +509,7 @@
     r.answer(r.sends.at(1), Outcome::reset);  // both were on one connection
     r.answer(r.sends.at(2), Outcome::reset);
     REQUIRE(r.probes == std::vector<std::string>{"w1"});
-    CHECK(r.sends.size() == 3U);  // nothing goes there until the probe has told
+    CHECK(r.sends.size() == 3U);  // nothing goes there until the probe is answered
     // A probe may meet a further connection that breaks: one says no more than the other.
     for (const Outcome o : {Outcome::reset, Outcome::connect_failed, runs ? Outcome::ok : Outcome::reset}) {
       r.give(event::Probed{"w1", o, Millis(2), std::nullopt});
@@ -523,11 +527,12 @@
   }
 }
 
-TEST_CASE("Peers: any content is harmless", "[peers]") {
+// Load reports of peers, whatever they hold, change no rule and cost at most a worse choice.
+TEST_CASE("gossip: any content is harmless", "[policy][gossip]") {
   Settings s = settings();
   s.peers = true;
   s.routers = 3;
-  Router r = warm_router(s);
+  Invoker r = warm_invoker(s);
   for (const char* text : {"", "q", "qabc", "q000z000z", "nonsense", "q\xff\xfe\xfd\xfc"})
     r.give(event::Peer{1, text});
   r.request("x");
@@ -536,8 +541,8 @@
   CHECK(r.sends.back().id == "x");
 }
 
-TEST_CASE("Ordinary: loads once when nothing is warm", "[ordinary]") {
-  Router r(settings());
+TEST_CASE("scheduler: loads once when nothing is warm", "[policy][scheduler]") {
+  Invoker r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
   r.pass(100);
@@ -547,10 +552,10 @@
   CHECK(r.sends.size() == 2U);
 }
 
-// E = N + 1 - L K / R with K = 2 lanes, R = 100 ms and L = min(500, aim - R) = 500 ms (as its order took): L
-// K / R is 10, so ten may wait and the eleventh starts a load.
-TEST_CASE("Ordinary: the creation test counts lanes", "[ordinary]") {
-  Router r = warm_router();
+// E = N + 1 - L K / R with K = 2 slots, R = 100 ms and L = min(500, objective - R) = 500 ms (as its order
+// took): L K / R is 10, so ten may wait and the eleventh starts a load.
+TEST_CASE("scheduler: the creation test counts slots", "[policy][scheduler]") {
+  Invoker r = warm_invoker();
   r.request("l1");
   r.request("l2");
   for (int i = 1; i <= 10; ++i) r.request(id("w", i));
@@ -560,8 +565,8 @@
   CHECK(r.loads[1].worker != home(r));
 }
 
-TEST_CASE("Ordinary: lanes at a worker full of other calls are not counted", "[ordinary]") {
-  Router r;
+TEST_CASE("scheduler: slots at a worker full of other calls are not counted", "[policy][scheduler]") {
+  Invoker r;
   r.list({entry("w1")});
   for (const std::uint64_t function : {1, 2}) {
     r.request("warm" + std::to_string(function), function, "safe", 4000, 16);
@@ -573,14 +578,14 @@
   for (int i = 0; i < 20; ++i) r.request("other" + std::to_string(i), 2, "safe", 4000, 16);
   const auto loads = r.loads.size(), sends = r.sends.size();
   r.request("a", 1, "safe", 4000, 16);
-  CHECK(r.sends.size() == sends);  // its copy stands where there is no room for a further call
+  CHECK(r.sends.size() == sends);  // its instance is where there is no room for a further call
   REQUIRE(r.loads.size() == loads + 1);
   CHECK(r.loads.back().worker == "w2");
   CHECK(r.loads.back().function == 1U);
 }
 
-TEST_CASE("Ordinary: a freed lane takes the head of its queue", "[ordinary]") {
-  Router r = warm_router();
+TEST_CASE("scheduler: a freed slot takes the head of its queue", "[policy][scheduler]") {
+  Invoker r = warm_invoker();
   r.request("l1");
   r.request("l2");
   r.request("w1");
@@ -590,9 +595,9 @@
   CHECK(r.sends[3].id == "w1");
 }
 
-// Failure found: calls turned away as full went out again at once, five attempts a request.
-TEST_CASE("Belief: a full worker is left alone for a while", "[belief]") {
-  Router r = warm_router();
+// Failure found: calls rejected as full went out again at once, five attempts a request.
+TEST_CASE("concurrency limit: a full worker is left alone for a while", "[policy][concurrency-limit]") {
+  Invoker r = warm_invoker();
   r.request("x");
   r.answer(r.sends.back(), Outcome::full);
   const auto before = r.sends.size();
@@ -603,8 +608,8 @@
 }
 
 // Failure found: calls piled on a worker that served them all late.
-TEST_CASE("Belief: a stretched worker gets fewer calls", "[belief]") {
-  Router r = warm_router(settings(), 16);
+TEST_CASE("concurrency limit: a worker that slows down gets fewer calls", "[policy][concurrency-limit]") {
+  Invoker r = warm_invoker(settings(), 16);
   for (int i = 0; i < 8; ++i) {
     r.request(id("slow", i));
     r.pass(100);
@@ -616,10 +621,10 @@
 }
 
 // Failure found: impatient clients left and came back while workers still served what nobody waited for.
-TEST_CASE("Load: the attempt of a client that left is called off", "[load]") {
+TEST_CASE("cancellation: the attempt of a client that left is cancelled", "[policy][cancellation]") {
   Settings s = settings();
   s.cancel = true;
-  Router r = warm_router(s);
+  Invoker r = warm_invoker(s);
   r.request("x");
   r.give(event::Left{"x"});
   REQUIRE(r.cancels.size() == 1U);
@@ -629,8 +634,8 @@
 }
 
 // Failure found: one class failed everywhere, and workers that served the others well were excluded for it.
-TEST_CASE("Health: a class that fails everywhere excludes no worker", "[health]") {
-  Router r(settings());
+TEST_CASE("outlier: a class that fails everywhere excludes no worker", "[policy][outlier]") {
+  Invoker r(settings());
   r.list({entry("a"), entry("b"), entry("c")});
   int served = 0;
   for (int i = 0; i < 60; ++i) {
@@ -646,14 +651,14 @@
   CHECK(served == 60);
 }
 
-TEST_CASE("EachOutcome: is followed as its semantics allow", "[each-outcome]") {
+TEST_CASE("retries: each outcome is followed as its semantics allow", "[policy][retries]") {
   const Outcome outcome = GENERATE(Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
                                    Outcome::reset, Outcome::cancelled, Outcome::moot, Outcome::miss);
   const std::string cls = GENERATE(as<std::string>{}, "safe", "keyed", "unsafe");
   CAPTURE(static_cast<int>(outcome), cls);
   const bool unran = outcome == Outcome::full || outcome == Outcome::connect_failed ||
                      outcome == Outcome::moot || outcome == Outcome::miss;
-  Router r = warm_router();
+  Invoker r = warm_invoker();
   r.request("x", 1, cls);
   const auto before = r.sends.size();
   REQUIRE(r.sends.back().id == "x");
@@ -665,11 +670,11 @@
     CHECK(r.failed == std::vector<std::string>{"x"});
     CHECK(r.refused.empty());
   }
-  CHECK(r.legs["x"] <= 3);
+  CHECK(r.attempts["x"] <= 3);
 }
 
-TEST_CASE("Rule1: every request is answered in time with no workers", "[rule1]") {
-  Router r(settings());
+TEST_CASE("deadlines: every request is answered in time with no workers", "[policy][deadlines]") {
+  Invoker r(settings());
   r.list({});
   for (int i = 0; i < 10; ++i) r.request(id("x", i), 1, i % 2 ? "unsafe" : "safe", 500);
   r.pass(500);
@@ -677,11 +682,11 @@
   CHECK_FALSE(r.broken);
 }
 
-TEST_CASE("Rule1: an unanswered attempt or order does not lose a request", "[rule1]") {
+TEST_CASE("deadlines: an unanswered attempt or order does not lose a request", "[policy][deadlines]") {
   for (const bool miss : {false, true}) {
     Settings s = settings();
     s.miss_is_answered = miss;
-    Router r = warm_router(s);
+    Invoker r = warm_invoker(s);
     r.request("x", 1, "unsafe");
     r.request("y", 2, "safe");
     r.pass(4000);
@@ -691,9 +696,9 @@
   }
 }
 
-TEST_CASE("Rule2: a keyed request is not repeated past its window", "[rule2]") {
+TEST_CASE("idempotency: a keyed request is not repeated past its window", "[policy][idempotency]") {
   for (const double wait : {500.0, 1997.0}) {
-    Router r = warm_router();
+    Invoker r = warm_invoker();
     r.request("x", 1, "keyed");
     const auto before = r.sends.size();
     r.now += Millis(wait);
@@ -704,9 +709,9 @@
   }
 }
 
-// Within its window but past its aim it is not sent again; its scope allows the refusal.
-TEST_CASE("Rule2: a keyed request past its aim is refused", "[rule2]") {
-  Router r = warm_router();
+// Within its window but past its latency objective it is not sent again; its scope allows the refusal.
+TEST_CASE("idempotency: a keyed request past its objective is refused", "[policy][idempotency]") {
+  Invoker r = warm_invoker();
   r.request("x", 1, "keyed");
   const auto before = r.sends.size();
   r.now += Millis(1000);
@@ -716,10 +721,10 @@
   CHECK(r.failed.empty());
 }
 
-TEST_CASE("Rule2: a keyed request stays in its cell", "[rule2]") {
+TEST_CASE("idempotency: a keyed request stays in its cell", "[policy][idempotency]") {
   Settings s = settings();
   s.classes[1].scope = KeyScope::cell;
-  Router r(s);
+  Invoker r(s);
   auto other = entry("b");
   other.cell = 9;
   r.list({entry("a"), other});
@@ -734,9 +739,9 @@
   CHECK(r.answered.size() == 1U);
 }
 
-TEST_CASE("Rule3: nothing new goes to a draining or gone worker", "[rule3]") {
+TEST_CASE("endpoint list: nothing new goes to a draining or gone worker", "[policy][endpoint-list]") {
   for (const auto state : {WorkerState::draining, WorkerState::gone}) {
-    Router r = warm_router();
+    Invoker r = warm_invoker();
     const std::string out = home(r);
     r.list({entry(out, state)}, ListKind::delta);
     const auto loads = r.loads.size();
@@ -749,8 +754,8 @@
   }
 }
 
-TEST_CASE("Rule3: a worker missing from a full list is gone", "[rule3]") {
-  Router r = warm_router();
+TEST_CASE("endpoint list: a worker missing from a full list is gone", "[policy][endpoint-list]") {
+  Invoker r = warm_invoker();
   const std::string left = home(r) == "b" ? "c" : "b";
   const auto loads = r.loads.size();
   r.list({entry(left)});
@@ -761,10 +766,10 @@
   for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker == left);
 }
 
-TEST_CASE("Rule4: a cold worker is sent a little only", "[rule4]") {
+TEST_CASE("slow start: a warming worker is sent a little only", "[policy][slow-start]") {
   Settings s = settings();
   s.max_attempts = 5;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a", WorkerState::ready, 990)});
   for (int i = 0; i < 60; ++i) {
     r.request(id("y", i), 1, "safe", 900);
@@ -776,12 +781,12 @@
   CHECK(r.sends.size() <= 4U);
 }
 
-TEST_CASE("Rule5: load orders stay inside the ration", "[rule5]") {
+TEST_CASE("load orders: stay inside the load budget", "[policy][load-orders]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 2;
   s.load_ratio = 0.1;
-  Router r(s);
+  Invoker r(s);
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 25; ++i) {
     r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
@@ -791,8 +796,8 @@
   CHECK(r.loads.size() >= 3U);
 }
 
-TEST_CASE("Store: an order that is never answered is given up elsewhere", "[store]") {
-  Router r(settings());
+TEST_CASE("load orders: one that is never answered is given to another worker", "[policy][load-orders]") {
+  Invoker r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
   REQUIRE(r.loads.size() == 1U);
@@ -800,8 +805,8 @@
   REQUIRE(r.loads.size() >= 2U);
 }
 
-TEST_CASE("Store: loads out at once are bounded", "[store]") {
-  Router r(settings());
+TEST_CASE("load orders: those in flight at once are bounded", "[policy][load-orders]") {
+  Invoker r(settings());
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 40; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
   r.pass(500);
@@ -810,12 +815,12 @@
 }
 
 // Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions
-// are hashed and decide the place alone.
+// are hashed and decide the placement alone.
 std::vector<std::string> played(const std::string& tag) {
   Settings s = settings();
   for (auto& c : s.classes) c.name = tag + c.name;
   s.kind_memory_mb = {{tag + "k", 10000}};
-  Router r(s);
+  Invoker r(s);
   std::vector<WorkerEntry> workers;
   for (const char* name : {"q", "b", "z", "a", "m"}) {
     workers.push_back(entry(name));
@@ -823,44 +828,44 @@
   }
   r.list(workers);
   std::mt19937 random(11);
-  std::size_t told = 0;
+  std::size_t seen = 0;
   for (int i = 0; i < 300; ++i) {
     const auto loads = r.loads.size();
     const auto f = random() % 8;
     r.request(tag + std::to_string(i), f + 1, tag + "safe");
     for (auto k = loads; k < r.loads.size(); ++k) r.loaded(r.loads[k].worker, r.loads[k].function, 1);
     r.pass(static_cast<double>(random() % 30));
-    if (r.sends.size() > told && r.answered.count(r.sends.back().id) == 0) {
-      told = r.sends.size();  // an attempt has one outcome
+    if (r.sends.size() > seen && r.answered.count(r.sends.back().id) == 0) {
+      seen = r.sends.size();  // an attempt has one outcome
       r.answer(r.sends.back(), random() % 9 == 0 ? Outcome::error : Outcome::ok,
                60 + static_cast<double>(random() % 80));
     }
   }
-  std::vector<std::string> places;
+  std::vector<std::string> placements;
   for (const auto& send : r.sends) {
     for (std::size_t i = 0; i < workers.size(); ++i) {
       if (workers[i].worker == send.worker)
-        places.push_back(std::to_string(i) + "/" + send.id.substr(tag.size()));
+        placements.push_back(std::to_string(i) + "/" + send.id.substr(tag.size()));
     }
   }
   CHECK_FALSE(r.broken);
-  return places;
+  return placements;
 }
-TEST_CASE("Names: decide nothing", "[names]") {
+TEST_CASE("names: decide nothing", "[policy][names]") {
   const auto plain = played("");
   CHECK(plain.size() > 50U);
   CHECK(plain == played("xyzzy-"));
   CHECK(plain == played(""));
 }
 
-TEST_CASE("BadInput: breaks no rule", "[bad-input]") {
+TEST_CASE("malformed input: breaks no rule", "[policy][malformed-input]") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     Settings s = settings();
     s.miss_is_answered = seed % 2 == 0;
     s.peers = true;
     s.routers = 3;
-    Router r(s);
+    Invoker r(s);
     const auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     std::map<std::string, Millis> due;
     for (int i = 0; i < 600; ++i) {
@@ -880,7 +885,7 @@
           const double expires = any(3000) - 100.0;
           r.memory_mb = any(2) ? 1e9 : -5;
           const auto name = id("r", any(400));
-          if (r.legs.count(name) == 0 && r.answered.count(name) == 0 && due.count(name) == 0) {
+          if (r.attempts.count(name) == 0 && r.answered.count(name) == 0 && due.count(name) == 0) {
             due[name] = r.now + Millis(std::max(0.0, expires));
             r.request(name, static_cast<std::uint64_t>(any(5)), any(4) ? "safe" : "nobody", expires,
                       any(4) - 1);
--- a/tests/policy/worker_table_test.cpp
+++ b/tests/policy/worker_table_test.cpp
@@ -53,20 +53,20 @@
 }
 
 TEST_CASE_METHOD(WorkerTableTest,
-                 "WorkerTable: a place is used again once its worker is long gone and nothing is in flight",
+                 "WorkerTable: an index is used again once its worker is long gone and nothing is in flight",
                  "[worker-table]") {
   apply({entry("a"), entry("b")}, ListKind::full);
-  const WorkerIndex place = table.find("a")->index;
-  table.attempt_started(place, true, now);
+  const WorkerIndex index = table.find("a")->index;
+  table.attempt_started(index, true, now);
   apply({entry("b")}, ListKind::full);
   now += Millis(60001);
   CHECK(table.prune(now).empty());
-  table.attempt_ended(place, true);
-  CHECK(table.prune(now) == std::vector<WorkerIndex>{place});
+  table.attempt_ended(index, true);
+  CHECK(table.prune(now) == std::vector<WorkerIndex>{index});
   CHECK(table.find("a") == nullptr);
   CHECK_FALSE(table.find_by_tag(worker_tag(hash_of("a"))));
   apply({entry("c")});
-  CHECK(table.find("c")->index == place);
+  CHECK(table.find("c")->index == index);
   CHECK(table.all().size() == 2U);
 }
 
--- a/tests/replay/day_plan.cpp
+++ b/tests/replay/day_plan.cpp
@@ -187,7 +187,7 @@
   return plan;
 }
 
-DayPlan second_copies_day() {
+DayPlan hedged_requests_day() {
   DayPlan plan = trouble_day();
   plan.name = "second-copies-five-invokers";
   plan.seed = 107;
@@ -243,7 +243,7 @@
           large_tier_day(),
           large_tier_with_orders_day(),
           overload_day(),
-          second_copies_day(),
+          hedged_requests_day(),
           long_quiet_day(),
           many_functions_day()};
 }
--- a/tests/replay/fleet_simulation.cpp
+++ b/tests/replay/fleet_simulation.cpp
@@ -257,12 +257,12 @@
   const bool hinted = function % 3 == 0;
   Json load_hint;
   if (function % 4 != 0) load_hint = to_millis(load_time);
-  const int lanes = 1 + static_cast<int>(function % 5);
+  const int slots = 1 + static_cast<int>(function % 5);
   const int bits = (hinted ? 1 : 0) + (retry ? 2 : 0) + (function % 7 == 0 ? 4 : 0);
   const Json& listed_class = classes.at(as_index(added.class_index)).at("Name");
   const Json class_name = random_.permille(plan_.odd_message_share / 2) ? Json("unlisted") : listed_class;
   Json message = {
-      "Order", id, class_name, 12.0, "gold", bits, 384, function, load_hint, to_millis(expires_in), lanes};
+      "Order", id, class_name, 12.0, "gold", bits, 384, function, load_hint, to_millis(expires_in), slots};
   if (random_.permille(plan_.odd_message_share)) odd_messages(invoker, id);
   deliver(invoker, message);
   if (random_.permille(plan_.odd_message_share / 4)) deliver(invoker, std::move(message));  // passed over
@@ -438,7 +438,7 @@
 void FleetSimulation::load(int invoker, const Json& command) {
   const std::string& id = command.at(1).get_ref<const std::string&>();
   const auto function = command.at(2).get<std::uint64_t>();
-  const int copies = command.at(3).get<int>();
+  const int instances = command.at(3).get<int>();
   Worker& worker = workers_[as_index(worker_index_.at(id))];
   const auto answer = [&](const char* status, Micros after, int standing) {
     deliver_later(invoker, after, {"BroughtUp", id, function, status, to_millis(after), standing});
@@ -450,7 +450,7 @@
   if (random_.permille(plan_.load_failure_share)) return answer("BAD", load_time, 0);
   Instance& instance = worker.instances[function];
   if (instance.ready_at == 0) instance.ready_at = now_ + load_time * worker.slow_factor;
-  answer("GOOD", 2 * network + std::max<Micros>(instance.ready_at - now_, 0), copies);
+  answer("GOOD", 2 * network + std::max<Micros>(instance.ready_at - now_, 0), instances);
 }
 
 void FleetSimulation::probe(int invoker, const Json& command) {
