--- a/include/pathstack/policy.h
+++ b/include/pathstack/policy.h
@@ -46,7 +46,7 @@
 enum class ReportField { inflight, queue, utilisation, latency_ms, rate, errors, pinned, loading, other };
 enum class Warmth { untold, stood, began, waited, load_failed };  // what an answer says of the copy
 
-// Times left at zero mean: not told, or no such limit.
+/// Times left at zero mean: not known, or no such limit.
 struct ClassSettings {
   std::string name;
   Semantics semantics = Semantics::once;
@@ -198,15 +198,22 @@
     std::variant<action::Send, action::Load, action::Unload, action::Refuse, action::Fail, action::Cancel,
                  action::Probe, action::Tell, action::SetTimer, action::Watch, action::Log>;
 
-// The decisions of one router. Begin with a Start; it needs nothing but its own events.
+/// The decisions of one invoker. It begins with a Start event, reads no clock and needs nothing but its own
+/// events. Not thread-safe; may be moved, not copied.
 class Policy {
  public:
   Policy();
   ~Policy();
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
+  Policy(const Policy&) = delete;
+  Policy& operator=(const Policy&) = delete;
+
+  /// Takes an event that happened at `now` and appends the actions that follow from it to `out`. A `now`
+  /// before that of an earlier event counts as that. Cost: see the parts under src/policy.
   void handle(Millis now, const Event& event, std::vector<Action>& out);
-  // For operators: what was decided and why, by name; figures of now under "now.". Nothing decides by it.
+
+  /// For operators: counts of decisions by reason, and present values under "now.". Nothing decides by it.
   std::map<std::string, double> tally() const;
 
  private:
--- a/src/core/counter.h
+++ b/src/core/counter.h
@@ -119,7 +119,7 @@
 /// The number of counters.
 constexpr std::size_t kCounters = static_cast<std::size_t>(Counter::xds_rejected) + 1;
 
-/// What an operator is told of a counter.
+/// What an operator reads of a counter.
 struct CounterInfo {
   Counter counter;
   std::string_view name;  // in the log
--- a/src/policy/engine.h
+++ b/src/policy/engine.h
@@ -33,6 +33,7 @@
 class Engine {
  public:
   Engine(const Settings& settings, ActionSink& actions);
+  ~Engine() = default;
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -12,7 +12,7 @@
 constexpr char kZeroLevel = '0';
 constexpr char kDownMark = '!';          // in place of a level; no letter of a tag
 constexpr char kOwnCallsTag[] = "!!!";   // in place of a worker's tag
-constexpr double kStepsPerDoubling = 4;  // own calls are told on a logarithmic scale
+constexpr double kStepsPerDoubling = 4;  // own calls are sent on a logarithmic scale
 constexpr int kMostWaiting = 60;
 
 }  // namespace
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -43,8 +43,8 @@
   double given_up_after_attempt() const { return given_up_after_attempt_; }
 
   /// Time of the latency objective of a request that arrives now with this time left. A client's own retry is
-  /// told from a first attempt by its time left: what most requests of its class are given is a first one's;
-  /// the objective of a retry began with its first attempt.
+  /// distinguished from a first attempt by its time left: what most requests of its class are given is a
+  /// first one's; the objective of a retry began with its first attempt.
   Millis objective_at(int class_index, Millis time_left, Millis now);
 
  private:
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -28,7 +28,7 @@
 
 // E of equations 6 and 7 with V = 0. An arrival stands in the queue already: N + 1 is the queue's length.
 double Scheduler::queued_after_load(const Function& function, int slots) const {
-  const double queued = static_cast<double>(function.queue.size());
+  const auto queued = static_cast<double>(function.queue.size());
   if (slots == 0) return queued;
   const double run = times_.run(function.times);
   double load = times_.load(function.times);
--- a/src/policy/service_times.h
+++ b/src/policy/service_times.h
@@ -14,7 +14,7 @@
   Average run;              // R of the paper
   Average load;             // L of the paper
   double unloaded_run = 0;  // slow-moving least of R: what a run takes at a worker that is not busy
-  double load_hint = 0;     // usual time of a load as requests tell it; 0: not told
+  double load_hint = 0;     // usual time of a load as requests state it; 0: not known
 };
 
 /// Run and load times, by function where there are samples, else by class, else over all functions.
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -26,7 +26,7 @@
 
   /// A new worker takes the place, or its worker was pruned.
   void reset(WorkerIndex worker);
-  /// A list told of another process: its budget is new, and its start is in the worker table.
+  /// A list has named another process: its budget is new, and its start is in the worker table.
   void restarted(WorkerIndex worker) { budgets_[worker].filled_at = kNever; }
   /// It was down and answers again: lists come late, so the warm-up counts from here.
   void returned(WorkerIndex worker, Millis now);
