--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -54,7 +54,7 @@
   return request({"CALL", tag, "bin-record", fields, body});
 }
 
-// A client that knows how its connection ended, and that reads and writes only when it is told to.
+// A client that knows how its connection ended, and that reads and writes only when the test says so.
 class RawClient {
  public:
   enum class State { open, closed_in_order, reset };
@@ -139,7 +139,7 @@
   }
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.word_of("1") == "OK");
-  // Which of the two calls an OK would be for could not be told.
+  // Which of the two calls an OK would be for could not be determined.
   CHECK(client.word_of("2") == (repeated ? "FAILED" : "OK"));
   CHECK(client.answers().size() == 2);
   CHECK(p.host().execs <= 2);
--- a/tests/invoker/platform_test.cpp
+++ b/tests/invoker/platform_test.cpp
@@ -492,7 +492,7 @@
   CHECK(p.world.counters.value(core::Counter::hosts_links_refused) >= 1);
 }
 
-TEST_CASE("a host told draining gets nothing new, and its open calls end there") {
+TEST_CASE("a host notified as draining gets nothing new, and its open calls end there") {
   Platform p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
@@ -545,8 +545,8 @@
   CHECK((world.host[1]->execs == 2 && world.host[2]->execs == 2 && world.host[3]->execs == 0));
 }
 
-// Failure found in review: what waited unread for a host left up to 1 s after it was told draining.
-TEST_CASE("a call that a host told draining has not read is not sent once the grace is over") {
+// Failure found in review: what waited unread for a host left up to 1 s after the list called it draining.
+TEST_CASE("a call that a host notified as draining has not read is not sent once the grace is over") {
   const net::Socket listener = net::listen_on("127.0.0.1:0").socket;
   World world(0);
   const auto tell = [&](pathstack::policy::WorkerState state) {
@@ -570,8 +570,8 @@
   REQUIRE(static_cast<bool>(peer));
   world.turn();
   tell(pathstack::policy::WorkerState::draining);
-  const Millis told = world.loop.now();
-  REQUIRE(world.turn_until([&] { return world.loop.now() - told > World::limits().drain_grace; }, 20000));
+  const Millis notified = world.loop.now();
+  REQUIRE(world.turn_until([&] { return world.loop.now() - notified > World::limits().drain_grace; }, 20000));
   std::string got;
   std::vector<char> bytes(1U << 20);
   const auto drained = [&] {
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: started, told by signals, asked over loopback.
+// The program itself: started, signalled, asked over loopback.
 #include <fcntl.h>
 #include <poll.h>
 #include <spawn.h>
@@ -226,16 +226,16 @@
 // Failure found (roll+mass): two in three invokers were killed with calls open, as each waited for its
 // longest deadline, while SIGKILL may come 3.7 s after SIGTERM.
 TEST_CASE(
-    "told to end, the program answers what is open before SIGKILL may come, however long its deadline") {
+    "signalled to end, the program answers what is open before SIGKILL may come, however long its deadline") {
   Site site(9000);
   site.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   Client client(site, site.start());
   client.call("1", 9000);
   REQUIRE(site.turn_until([&] { return site.host.execs == 1; }));
-  const Millis told = site.loop.now();
+  const Millis signalled = site.loop.now();
   site.program->tell(SIGTERM);
   REQUIRE(site.turn_until([&] { return !client.got.empty() || client.closed; }));
-  CHECK((site.loop.now() - told).count() < 3700);
+  CHECK((site.loop.now() - signalled).count() < 3700);
   REQUIRE(client.got.size() == 1);
   CHECK(client.got[0] == resp::Words{"1", "FAILED"});
   REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
@@ -344,7 +344,8 @@
 };
 
 // Failure found in review: the exit closed connections with input unread, which resets them.
-TEST_CASE("told to end, the program closes no connection by a reset, though its client goes on sending") {
+TEST_CASE(
+    "signalled to end, the program closes no connection by a reset, though its client goes on sending") {
   Site site(1000);
   site.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   const std::string address = site.start();
@@ -356,14 +357,14 @@
     client.turn();
     return site.host.execs == 1 && client.answered() > 0;
   }));
-  const Millis told = site.loop.now();
+  const Millis signalled = site.loop.now();
   site.program->tell(SIGTERM);
   REQUIRE(site.turn_until([&] {
     client.turn();
     site.loop.at(site.loop.now(), [] {});  // the loop does not wait, so that input is always on its way
     return site.program->ended().has_value();
   }));
-  CHECK((site.loop.now() - told).count() < 1700);
+  CHECK((site.loop.now() - signalled).count() < 1700);
   client.turn();
   CHECK(client.state() == BusyClient::State::closed_in_order);
   CHECK(client.first_word() == "FAILED");
--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -23,10 +23,10 @@
 
 constexpr std::size_t kHosts = 4, kClients = 6, kCalls = 300;
 constexpr Millis kShortestAllow{100}, kSpreadOfAllow{700};
-constexpr Millis kAfterLeaving{100};  // an attempt may begin so long after its client has gone
-constexpr Millis kTimeoutSlack{150};  // a host may be told a time-out longer than the client's by so much
-constexpr Millis kSocketSlack{50};    // every other limit grows by so much on sockets
-constexpr Millis kLateAnswers{300};   // watched for so long once all is answered
+constexpr Millis kAfterLeaving{100};         // an attempt may begin so long after its client has gone
+constexpr Millis kTimeoutSlack{150};         // a host may get a time-out longer than the client's by so much
+constexpr Millis kSocketSlack{50};           // every other limit grows by so much on sockets
+constexpr Millis kLateAnswers{300};          // watched for so long once all is answered
 constexpr std::uint64_t kCrossingPolls = 5;  // what was written before is read by then
 constexpr Millis kCrossing{10};
 constexpr Millis kLongestPlay{20000}, kLongestCheck{3000};  // limits on waits
@@ -293,8 +293,8 @@
     for (const auto& attempt : call.attempts) {
       const Millis left = call.sent.at + call.allow - attempt.came.at;
       if (attempt.timeout > left + kTimeoutSlack) {
-        found.push_back(described(call, "a host was told " + in_ms(attempt.timeout) + " with " + in_ms(left) +
-                                            " left to the client"));
+        found.push_back(described(call, "a host got a time-out of " + in_ms(attempt.timeout) + " with " +
+                                            in_ms(left) + " left to the client"));
       }
     }
   }
--- a/tests/invoker/support/call_client.h
+++ b/tests/invoker/support/call_client.h
@@ -22,7 +22,7 @@
       : Stream(loop, pool, net::connect_to(address), true), book_(book), now_(std::move(now)) {}
 
   bool closed() const { return closed_; }
-  /// True once this client was told `UP`.
+  /// True once this client was answered `UP`.
   bool up() const { return up_; }
   std::size_t open_calls() const { return refs_.size(); }
 
--- a/tests/invoker/support/faulty_calls.h
+++ b/tests/invoker/support/faulty_calls.h
@@ -17,10 +17,10 @@
 namespace pathstack::test {
 
 /// Fails calls of the invoker's as Linux documents it, from a seed, and passes all others to the kernel. The
-/// invoker's are told from those of the stand-ins in its process by their descriptors: connections that were
-/// accepted on the front's port, and those that were opened outside `spare`. The first call of each kind
-/// fails, so that no run goes without: the first accept does so while no client is connected whose end could
-/// bring another try.
+/// invoker's are distinguished from those of the stand-ins in its process by their descriptors: connections
+/// that were accepted on the front's port, and those that were opened outside `spare`. The first call of each
+/// kind fails, so that no run goes without: the first accept does so while no client is connected whose end
+/// could bring another try.
 class FaultyCalls final : public net::SystemCalls {
  public:
   /// Chances in a thousand.
--- a/tests/invoker/support/stand_in_host.h
+++ b/tests/invoker/support/stand_in_host.h
@@ -1,4 +1,4 @@
-// A stand-in for hosts, with answers that go wrong as told.
+// A stand-in for hosts, with answers that go wrong as the test sets them.
 #pragma once
 
 #include <catch2/catch.hpp>
