--- a/src/hosts/connection.cpp
+++ b/src/hosts/connection.cpp
@@ -8,7 +8,7 @@
 
 using core::Outcome;
 
-constexpr Millis kSuspectSilence{400};  // an attempt cancelled after such a silence: the host may be cut off
+constexpr Millis kSuspectAfterSilence{400};  // an attempt cancelled after such a silence: the host may be cut off
 constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
 constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
 constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
@@ -54,7 +54,7 @@
 }
 
 bool Connection::accepts(const std::string& ref) const {
-  const bool usable = !ending() && !retired_ && !silent_at_cancel_;
+  const bool usable = !ending() && !retired_ && !suspect_;
   return usable && attempts_.size() < limits_.attempts_a_link && !attempts_.contains(ref) &&
          history_.reusable(ref, loop().now());
 }
@@ -74,7 +74,7 @@
   const Millis now = loop().now();
   // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
   const Millis silent_since = std::max(monitor_.liveness().last_received(), cancelled->added_at);
-  if (now - silent_since > kSuspectSilence) silent_at_cancel_ = true;
+  if (now - silent_since > kSuspectAfterSilence) suspect_ = true;
   // At once: the next attempt may leave on another connection in this very turn.
   write(encode_cancel(*ref));
   history_.cancelled(*ref, now, outbox().appended());
@@ -105,7 +105,7 @@
   monitor_.watch();
 }
 
-void Connection::stop_using() {
+void Connection::retire() {
   retired_ = true;
   update_idle_timer();
 }
@@ -124,7 +124,7 @@
   update_idle_timer();
 }
 
-void Connection::replace() {
+void Connection::mark_replaced() {
   replaced_ = true;
   drain();
 }
@@ -143,17 +143,17 @@
 }
 
 void Connection::received(std::string_view bytes) {
-  silent_at_cancel_ = false;
+  suspect_ = false;
   std::vector<Reply> replies;
-  bool sound = parser_.take(bytes, replies);
-  monitor_.liveness().received(loop().now(), parser_.begun(), !replies.empty());
+  bool well_formed = parser_.take(bytes, replies);
+  monitor_.liveness().received(loop().now(), parser_.has_partial_reply(), !replies.empty());
   for (auto& reply : replies) {
     if (ending()) return;
-    if (take_answer(std::move(reply))) continue;
-    sound = false;  // what follows it proves no more than it does
+    if (handle_answer(std::move(reply))) continue;
+    well_formed = false;  // what follows it proves no more than it does
     break;
   }
-  if (!sound) {
+  if (!well_formed) {
     counters_.add(core::Counter::hosts_malformed);
     end_later();
   }
@@ -161,19 +161,19 @@
 }
 
 // False if it is malformed: whatever is open here then ends as what it is, something that may have run.
-bool Connection::take_answer(Reply&& reply) {
+bool Connection::handle_answer(Reply&& reply) {
   auto answer = decoder_.decode(std::move(reply));
   if (!answer) return false;
-  if (attempts_.contains(answer->id)) return take_attempt_answer(std::move(*answer));
+  if (attempts_.contains(answer->id)) return handle_attempt_answer(std::move(*answer));
   if (const auto request = requests_.remove(answer->id)) {
-    take_request_answer(*request, std::move(*answer));
+    handle_request_answer(*request, std::move(*answer));
   } else {
-    take_unexpected_answer(answer->id);
+    handle_unexpected_answer(answer->id);
   }
   return true;
 }
 
-bool Connection::take_attempt_answer(Answer&& answer) {
+bool Connection::handle_attempt_answer(Answer&& answer) {
   if (!answer.fits_attempt()) return false;
   const auto open = attempts_.remove(answer.id);
   monitor_.liveness().reset_backoff();
@@ -186,19 +186,19 @@
   return true;
 }
 
-void Connection::take_request_answer(const OpenRequest& request, Answer&& answer) {
+void Connection::handle_request_answer(const OpenRequest& request, Answer&& answer) {
   history_.confirm_read(request.message.end);
   report_request_end(request, answer.outcome, answer.instances, std::move(answer.report));
 }
 
-void Connection::take_unexpected_answer(const std::string& id) {
-  if (history_.take_late_answer(id, loop().now()) == RefHistory::Late::first) {
+void Connection::handle_unexpected_answer(const std::string& id) {
+  if (history_.record_late_answer(id, loop().now()) == RefHistory::LateAnswer::first) {
     counters_.add(core::Counter::hosts_late_answers);  // to an attempt cancelled meanwhile
     return;
   }
   // More than belongs to it: what is open here keeps its own answers, nothing new is sent.
   counters_.add(core::Counter::hosts_surplus_answers);
-  stop_using();
+  retire();
 }
 
 void Connection::request_timed_out(const OpenRequest& request) {
@@ -223,7 +223,7 @@
   if (connecting()) return;
   loop().cancel(idle_timer_);
   if (load() > 0) return;
-  const bool usable = !retired_ && !silent_at_cancel_;
+  const bool usable = !retired_ && !suspect_;
   const Millis idle = usable ? limits_.idle * kIdleShare : Millis(0);
   idle_timer_ = loop().at(loop().now() + idle, [this] { end_later(); });
 }
--- a/src/hosts/connection.h
+++ b/src/hosts/connection.h
@@ -93,11 +93,11 @@
   void unload(std::uint64_t function);
 
   /// Nothing new goes here, and what is open ends by itself.
-  void stop_using();
-  /// The host is draining or gone: as `stop_using`, and what has not gone out within the grace never will.
+  void retire();
+  /// The host is draining or gone: as `retire`, and what has not gone out within the grace never will.
   void drain();
   /// The host runs a new process, or another host has its address: as `drain`, for good.
-  void replace();
+  void mark_replaced();
 
  private:
   core::Counters& counters_;
@@ -112,7 +112,7 @@
   LivenessMonitor monitor_;
   bool retired_ = false;             // nothing new goes here
   bool replaced_ = false;            // its host runs another process now
-  bool silent_at_cancel_ = false;    // it had been silent for long when an attempt was cancelled
+  bool suspect_ = false;    // it had been silent for long when an attempt was cancelled
   net::Loop::TimerId idle_timer_{};  // while connecting, the connect time-out
   net::Loop::TimerId drain_timer_{};
 
@@ -123,10 +123,10 @@
 
   void send_request(const std::string& tag, OpenRequest::Kind kind, std::uint64_t function,
                     const std::string& message);
-  bool take_answer(Reply&& reply);
-  bool take_attempt_answer(Answer&& answer);
-  void take_request_answer(const OpenRequest& request, Answer&& answer);
-  void take_unexpected_answer(const std::string& id);
+  bool handle_answer(Reply&& reply);
+  bool handle_attempt_answer(Answer&& answer);
+  void handle_request_answer(const OpenRequest& request, Answer&& answer);
+  void handle_unexpected_answer(const std::string& id);
   void request_timed_out(const OpenRequest& request);
   void report_request_end(const OpenRequest& request, core::Outcome outcome, int instances,
                           core::Report report);
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -24,8 +24,8 @@
   for (const auto& connection : connections) connection->drain();
 }
 
-void ConnectionPool::Host::replace() {
-  for (const auto& connection : connections) connection->replace();
+void ConnectionPool::Host::mark_replaced() {
+  for (const auto& connection : connections) connection->mark_replaced();
 }
 
 void ConnectionPool::members(const core::MemberList& list) {
@@ -53,23 +53,23 @@
   const bool known = !host.member.entry.worker.empty();
   // Stamps come from the host's wall clock, which may be stepped back: any change is a restart. Zero says
   // nothing: entries of hosts that drain or are gone need not have a stamp.
-  const Millis stamp_before = host.member.entry.started;
-  const bool stamped = member.entry.started.count() != 0;
+  const Millis previous_start = host.member.entry.started;
+  const bool has_start = member.entry.started.count() != 0;
   const bool moved = member.address != host.member.address;
-  const bool restarted = known && (moved || (stamped && member.entry.started != stamp_before));
-  if (restarted) host.replace();
+  const bool restarted = known && (moved || (has_start && member.entry.started != previous_start));
+  if (restarted) host.mark_replaced();
   if (moved) index_address(id, host.member.address, member.address);
   host.member = member;
-  if (!stamped) host.member.entry.started = stamp_before;
+  if (!has_start) host.member.entry.started = previous_start;
   if (member.entry.state != WorkerState::ready) return host.drain();
-  replace_others_at(member.address, id);
+  mark_others_replaced(member.address, id);
 }
 
 // A new host may stand at the address of one that is gone, and be taken for it.
-void ConnectionPool::replace_others_at(const std::string& address, const std::string& id) {
+void ConnectionPool::mark_others_replaced(const std::string& address, const std::string& id) {
   const auto [first, last] = ids_by_address_.equal_range(address);
   for (auto other = first; other != last; ++other) {
-    if (other->second != id) hosts_.at(other->second).replace();
+    if (other->second != id) hosts_.at(other->second).mark_replaced();
   }
 }
 
@@ -232,13 +232,13 @@
                                   [&](const auto& other) { return other.get() == &connection; });
   loop_.defer_destruction(*found);
   connections.erase(found);
-  const bool by_host = connection.end_cause() == net::StreamEnd::closed_by_peer ||
+  const bool closed_by_host = connection.end_cause() == net::StreamEnd::closed_by_peer ||
                        connection.end_cause() == net::StreamEnd::reset_by_peer;
-  const bool another_is_up = std::any_of(connections.begin(), connections.end(), [](const auto& other) {
+  const bool has_other_connection = std::any_of(connections.begin(), connections.end(), [](const auto& other) {
     return other->open() && other->counts_for_host();
   });
-  const bool was_of_process = connection.was_up() && !connection.is_replaced();
-  if (was_of_process && by_host && !another_is_up) dispatcher_->connections_lost(connection.host());
+  const bool was_to_current_process = connection.was_up() && !connection.is_replaced();
+  if (was_to_current_process && closed_by_host && !has_other_connection) dispatcher_->connections_lost(connection.host());
 }
 
 }  // namespace pathstack::hosts
--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -71,7 +71,7 @@
     std::vector<std::shared_ptr<Connection>> connections;
 
     void drain();
-    void replace();
+    void mark_replaced();
   };
   /// A connection, or the outcome of what was to go over it.
   struct ConnectionChoice {
@@ -100,7 +100,7 @@
   bool may_still_write(Millis added_at) override;
 
   void update_member(const core::Member& member);
-  void replace_others_at(const std::string& address, const std::string& id);
+  void mark_others_replaced(const std::string& address, const std::string& id);
   void index_address(const std::string& id, const std::string& before, const std::string& now);
   Host* ready_host(const std::string& id);
   ConnectionChoice connection_to_ready_host(const std::string& id, const std::string& ref);
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -26,7 +26,7 @@
   /// more, for good. Cost: linear in the bytes.
   bool take(std::string_view bytes, std::vector<Reply>& out);
   /// True if a reply has begun and its rest has to come.
-  bool begun() const { return state_ == State::body || !line_.empty(); }
+  bool has_partial_reply() const { return state_ == State::body || !line_.empty(); }
 
  private:
   enum class State { line, body, malformed };
--- a/src/hosts/liveness.cpp
+++ b/src/hosts/liveness.cpp
@@ -28,13 +28,13 @@
   ++checks_since_answer_;
 }
 
-Liveness::Verdict Liveness::judge(Millis now, Millis timeout, std::size_t calls) const {
-  if (partial_since_.count() > 0 && now - partial_since_ > kPartialTimeout) return Verdict::answer_cut_off;
+Liveness::Status Liveness::evaluate(Millis now, Millis timeout, std::size_t calls) const {
+  if (partial_since_.count() > 0 && now - partial_since_ > kPartialTimeout) return Status::answer_incomplete;
   const bool check_unanswered = checked_at_ > received_at_;
-  if (check_unanswered) return now - checked_at_ > kCheckTimeout ? Verdict::silent : Verdict::fine;
+  if (check_unanswered) return now - checked_at_ > kCheckTimeout ? Status::unresponsive : Status::ok;
   const double share = kSilenceShare / static_cast<double>(std::max<std::size_t>(calls, 1));
   const Millis allowed = std::max(kMinSilence, share * timeout) * std::exp2(checks_since_answer_);
-  return now - last_used() > allowed ? Verdict::check_due : Verdict::fine;
+  return now - last_used() > allowed ? Status::check_due : Status::ok;
 }
 
 }  // namespace pathstack::hosts
--- a/src/hosts/liveness.h
+++ b/src/hosts/liveness.h
@@ -22,7 +22,7 @@
 class Liveness {
  public:
   /// What has to be done with the connection: nothing, send a health check, or end it for one of two causes.
-  enum class Verdict { fine, check_due, answer_cut_off, silent };
+  enum class Status { ok, check_due, answer_incomplete, unresponsive };
 
   /// The connection is up.
   void connected(Millis now) { received_at_ = now; }
@@ -44,7 +44,7 @@
   Millis last_used() const { return std::max(received_at_, sent_at_); }
 
   /// What to do now. `timeout` is that of the last call sent, `calls` how many are open.
-  Verdict judge(Millis now, Millis timeout, std::size_t calls) const;
+  Status evaluate(Millis now, Millis timeout, std::size_t calls) const;
 
  private:
   Millis received_at_{0}, sent_at_{0}, partial_since_{0}, checked_at_{0};
--- a/src/hosts/liveness_monitor.cpp
+++ b/src/hosts/liveness_monitor.cpp
@@ -36,20 +36,20 @@
   const bool nothing_open = attempts_.size() + requests_.size() == 0;
   if (nothing_open || stream_.ending()) return;
   const Millis now = loop_.now();
-  if (host_refuses_attempt(now)) return end_connection(core::Counter::hosts_stalled_links);
+  if (has_stalled_attempt(now)) return end_connection(core::Counter::hosts_stalled_links);
   if (stream_.open()) {
-    const auto verdict = liveness_.judge(now, attempts_.last_timeout(), attempts_.size());
-    if (verdict == Liveness::Verdict::answer_cut_off) {
+    const auto status = liveness_.evaluate(now, attempts_.last_timeout(), attempts_.size());
+    if (status == Liveness::Status::answer_incomplete) {
       return end_connection(core::Counter::hosts_cut_answers);
     }
-    if (verdict == Liveness::Verdict::silent) return end_connection(core::Counter::hosts_silent_links);
-    if (verdict == Liveness::Verdict::check_due && probes_) send_health_check(now);
+    if (status == Liveness::Status::unresponsive) return end_connection(core::Counter::hosts_silent_links);
+    if (status == Liveness::Status::check_due && probes_) send_health_check(now);
   }
   set_timer();
 }
 
 // What has waited only since a stall of this program's own loop, no host has refused yet.
-bool LivenessMonitor::host_refuses_attempt(Millis now) {
+bool LivenessMonitor::has_stalled_attempt(Millis now) {
   return attempts_.has_overdue(now) && !stream_.flush_now() && attempts_.has_overdue(now);
 }
 
--- a/src/hosts/liveness_monitor.h
+++ b/src/hosts/liveness_monitor.h
@@ -47,7 +47,7 @@
 
   void set_timer();
   void check();
-  bool host_refuses_attempt(Millis now);
+  bool has_stalled_attempt(Millis now);
   void send_health_check(Millis now);
   void end_connection(core::Counter cause);
 };
--- a/src/hosts/open_attempts.cpp
+++ b/src/hosts/open_attempts.cpp
@@ -64,8 +64,8 @@
   const OpenAttempt open = found->second;
   by_ref_.erase(found);
   if (!open.message.written) {
-    const auto same = [&](const Waiting& waiting) { return waiting.request.ref == ref; };
-    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), same), waiting_.end());
+    const auto has_ref = [&](const Waiting& waiting) { return waiting.request.ref == ref; };
+    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), has_ref), waiting_.end());
   }
   return open;
 }
--- a/src/hosts/ref_history.cpp
+++ b/src/hosts/ref_history.cpp
@@ -5,7 +5,7 @@
 namespace pathstack::hosts {
 namespace {
 
-constexpr Millis kKept{10000};  // a host that is cut off for longer has its connection ended
+constexpr Millis kRetention{10000};  // a host that is cut off for longer has its connection ended
 constexpr std::size_t kMaxRefs = 2048;
 
 }  // namespace
@@ -18,12 +18,12 @@
 
 void RefHistory::confirm_read(std::uint64_t request_end) { confirmed_ = std::max(confirmed_, request_end); }
 
-RefHistory::Late RefHistory::take_late_answer(const std::string& ref, Millis now) {
+RefHistory::LateAnswer RefHistory::record_late_answer(const std::string& ref, Millis now) {
   const auto found = entries_.find(ref);
-  if (found == entries_.end()) return Late::unknown;
-  if (found->second.cancel_end == 0) return Late::duplicate;
+  if (found == entries_.end()) return LateAnswer::unknown;
+  if (found->second.cancel_end == 0) return LateAnswer::duplicate;
   answered(ref, now);
-  return Late::first;
+  return LateAnswer::first;
 }
 
 bool RefHistory::reusable(const std::string& ref, Millis now) const {
@@ -39,7 +39,7 @@
 }
 
 void RefHistory::expire(Millis now) {
-  while (!order_.empty() && (now - order_.front().first > kKept || order_.size() > kMaxRefs)) {
+  while (!order_.empty() && (now - order_.front().first > kRetention || order_.size() > kMaxRefs)) {
     const auto& [ended, ref] = order_.front();
     const auto found = entries_.find(ref);
     // A ref that was used again has a later place in the order, too.
--- a/src/hosts/ref_history.h
+++ b/src/hosts/ref_history.h
@@ -26,7 +26,7 @@
 class RefHistory {
  public:
   /// What an answer to no open attempt is.
-  enum class Late { first, duplicate, unknown };
+  enum class LateAnswer { first, duplicate, unknown };
 
   /// A host may send an answer twice within `duplicate_window`.
   explicit RefHistory(Millis duplicate_window) : duplicate_window_(duplicate_window) {}
@@ -39,7 +39,7 @@
   void confirm_read(std::uint64_t request_end);
   /// Classifies an answer to none of the open attempts: the first one to a cancelled attempt, a further one
   /// to an attempt that has its answer, or one that belongs to nothing sent here.
-  Late take_late_answer(const std::string& ref, Millis now);
+  LateAnswer record_late_answer(const std::string& ref, Millis now);
   /// True if an attempt may go out under `ref`.
   bool reusable(const std::string& ref, Millis now) const;
   /// Forgets `ref`, which is about to be used again.
--- a/src/hosts/wire.cpp
+++ b/src/hosts/wire.cpp
@@ -13,14 +13,14 @@
 using core::Outcome;
 using net::field;
 
-constexpr std::uint64_t kMaxCrowd = 30;  // a greater one says no more
+constexpr std::uint64_t kMaxConcurrentCalls = 30;  // a greater one says no more
 constexpr std::uint64_t kMaxInstances = 1000;
-constexpr std::uint64_t kMaxNumber = 1000000;
+constexpr std::uint64_t kMaxParsedCalls = 1000000;
 constexpr const char* kLineEnd = "\r\n";
 
 struct AnswerWord {
   Outcome outcome;
-  bool of_probe;
+  bool probe_only;
 };
 
 std::optional<AnswerWord> decode_word(const std::string& word) {
@@ -74,13 +74,13 @@
   const auto fields = net::parse_fields(reply.fields);
   const auto word = decode_word(reply.word);
   if (!fields || !word || !is_plain_id(reply.id)) return std::nullopt;
-  const auto concurrent_calls = net::parse_whole(field(*fields, "crowd"), kMaxNumber).value_or(0);
+  const auto concurrent_calls = net::parse_whole(field(*fields, "crowd"), kMaxParsedCalls).value_or(0);
   const auto instances = net::parse_whole(field(*fields, "count"), kMaxInstances).value_or(0);
   Answer answer;
   answer.id = std::move(reply.id);
   answer.outcome = word->outcome;
-  answer.of_probe = word->of_probe;
-  answer.concurrent_calls = static_cast<int>(std::min(concurrent_calls, kMaxCrowd));
+  answer.probe_only = word->probe_only;
+  answer.concurrent_calls = static_cast<int>(std::min(concurrent_calls, kMaxConcurrentCalls));
   answer.instances = static_cast<int>(instances);
   answer.report = read_report(field(*fields, "l"));
   answer.body = std::move(reply.body);
--- a/src/hosts/wire.h
+++ b/src/hosts/wire.h
@@ -43,7 +43,7 @@
 struct Answer {
   std::string id;  // the ref of an attempt, or the tag of another request
   core::Outcome outcome = core::Outcome::error;
-  bool of_probe = false;            // its word belongs to probes and health checks alone
+  bool probe_only = false;            // its word belongs to probes and health checks alone
   int concurrent_calls = 0;         // calls of the same function that the host holds
   int instances = 0;                // of the function that a load order named
   core::Report report;              // nothing unless complete
@@ -51,7 +51,7 @@
 
   /// False if it can't be the answer to an attempt. One that lost its end would be served as an empty body,
   /// which no host has given.
-  bool fits_attempt() const { return !of_probe && (outcome != core::Outcome::ok || body.has_value()); }
+  bool fits_attempt() const { return !probe_only && (outcome != core::Outcome::ok || body.has_value()); }
 };
 
 /// Decodes answers. Holds no state of a connection; every call is independent.
--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-std::optional<Fields> parse_fields(std::string_view text, char between, char sign) {
+std::optional<Fields> parse_fields(std::string_view text, char separator, char assign) {
   Fields fields;
   while (!text.empty()) {
-    const std::string_view item = text.substr(0, text.find(between));
+    const std::string_view item = text.substr(0, text.find(separator));
     text.remove_prefix(item.size() == text.size() ? item.size() : item.size() + 1);
-    const auto at = item.find(sign);
+    const auto at = item.find(assign);
     if (at == std::string_view::npos || at == 0) return std::nullopt;
     const bool is_new = fields.emplace(item.substr(0, at), item.substr(at + 1)).second;
     if (!is_new) return std::nullopt;
@@ -36,14 +36,14 @@
   return found == fields.end() ? kNone : found->second;
 }
 
-std::optional<std::uint64_t> parse_whole(std::string_view digits, std::uint64_t most) {
+std::optional<std::uint64_t> parse_whole(std::string_view digits, std::uint64_t max) {
   if (digits.empty() || digits.size() > kMaxDecimalDigits) return std::nullopt;
   std::uint64_t value = 0;
   for (const char c : digits) {
     if (c < '0' || c > '9') return std::nullopt;
     value = value * 10 + static_cast<std::uint64_t>(c - '0');
   }
-  if (value > most) return std::nullopt;
+  if (value > max) return std::nullopt;
   return value;
 }
 
--- a/src/net/fields.h
+++ b/src/net/fields.h
@@ -15,13 +15,13 @@
 
 /// Reads a list whose items are divided by `between`, and names from values by the first `sign`. Nothing if
 /// an item has no name or no sign, or if a name occurs twice. Cost: n log n in the number of items.
-std::optional<Fields> parse_fields(std::string_view text, char between = ',', char sign = '=');
+std::optional<Fields> parse_fields(std::string_view text, char separator = ',', char assign = '=');
 
 /// The value of a name; empty if the list has none.
 const std::string& field(const Fields& fields, std::string_view name);
 
 /// A whole number of 1 to 18 decimal digits, at most `most`.
-std::optional<std::uint64_t> parse_whole(std::string_view digits, std::uint64_t most);
+std::optional<std::uint64_t> parse_whole(std::string_view digits, std::uint64_t max);
 
 /// A number of exactly 16 lower-case hexadecimal digits.
 std::optional<std::uint64_t> parse_hex16(std::string_view digits);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -10,7 +10,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr Millis kLongestWait{1000};
+constexpr Millis kMaxWait{1000};
 constexpr Millis kFailedPollPause{10};  // a poll(2) that fails returns at once, and would spin
 
 template <typename Clock>
@@ -42,12 +42,12 @@
 void Loop::forget(int fd, Handler& handler) {
   const auto index = static_cast<std::size_t>(fd);
   if (fd >= 0 && index < by_fd_.size() && by_fd_[index].handler == &handler) by_fd_[index] = Entry();
-  std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<Handler*>(nullptr));
+  std::replace(pending_flushes_.begin(), pending_flushes_.end(), &handler, static_cast<Handler*>(nullptr));
 }
 
 void Loop::flush_later(Handler& handler) {
-  const bool is_due = std::find(unflushed_.begin(), unflushed_.end(), &handler) != unflushed_.end();
-  if (!is_due) unflushed_.push_back(&handler);
+  const bool is_due = std::find(pending_flushes_.begin(), pending_flushes_.end(), &handler) != pending_flushes_.end();
+  if (!is_due) pending_flushes_.push_back(&handler);
 }
 
 Loop::TimerId Loop::at(Millis when, std::function<void()> callback) {
@@ -71,7 +71,7 @@
 
 Millis Loop::wait_until(Millis due) const {
   const Millis until = timers_.empty() ? due : std::min(due, timers_.begin()->first.due);
-  return std::min(std::max(until - now(), Millis(0)), kLongestWait);
+  return std::min(std::max(until - now(), Millis(0)), kMaxWait);
 }
 
 void Loop::collect_descriptors() {
@@ -100,8 +100,8 @@
   for (std::size_t i = 0; i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
     const Entry& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
-    const bool is_same_user = entry.handler != nullptr && entry.serial == polled_serials_[i];
-    if (is_same_user) entry.handler->ready(polled_[i].revents);
+    const bool is_same_watch = entry.handler != nullptr && entry.serial == polled_serials_[i];
+    if (is_same_watch) entry.handler->ready(polled_[i].revents);
   }
 }
 
@@ -118,11 +118,11 @@
 void Loop::flush() {
   // By index: a flush may queue more, and an ended handler leaves a gap.
   std::size_t next = 0;
-  while (next < unflushed_.size()) {
-    Handler* handler = std::exchange(unflushed_[next++], nullptr);
+  while (next < pending_flushes_.size()) {
+    Handler* handler = std::exchange(pending_flushes_[next++], nullptr);
     if (handler != nullptr) handler->flush();
   }
-  unflushed_.clear();
+  pending_flushes_.clear();
 }
 
 }  // namespace pathstack::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -96,7 +96,7 @@
   std::vector<Entry> by_fd_;
   std::vector<pollfd> polled_;
   std::vector<std::uint64_t> polled_serials_;  // of the entries behind `polled_`
-  std::vector<Handler*> unflushed_;            // null: ended since
+  std::vector<Handler*> pending_flushes_;            // null: ended since
   std::map<TimerId, std::function<void()>> timers_;
   std::vector<std::shared_ptr<void>> deferred_;
   std::uint64_t last_serial_ = 0;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -80,13 +80,13 @@
 }
 
 ListenResult listen_on(const std::string& address) {
-  const Addresses at = resolve(address, AI_PASSIVE);
-  if (!at) return {Socket(), std::make_error_code(std::errc::invalid_argument)};
-  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const Addresses resolved = resolve(address, AI_PASSIVE);
+  if (!resolved) return {Socket(), std::make_error_code(std::errc::invalid_argument)};
+  Socket socket(system_calls().socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return {Socket(), last_error()};
   const int on = 1;
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return {Socket(), last_error()};
+  if (system_calls().bind(socket.fd(), resolved->ai_addr, resolved->ai_addrlen) != 0) return {Socket(), last_error()};
   if (system_calls().listen(socket.fd(), kListenBacklog) != 0) return {Socket(), last_error()};
   return {std::move(socket), {}};
 }
@@ -108,12 +108,12 @@
 }
 
 ConnectResult begin_connect(const std::string& address) {
-  const Addresses at = resolve(address, 0);
-  if (!at) return {Socket(), ConnectFault::address};
-  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const Addresses resolved = resolve(address, 0);
+  if (!resolved) return {Socket(), ConnectFault::address};
+  Socket socket(system_calls().socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return {Socket(), ConnectFault::local};
   disable_nagle(socket.fd());
-  const int result = system_calls().connect(socket.fd(), at->ai_addr, at->ai_addrlen);
+  const int result = system_calls().connect(socket.fd(), resolved->ai_addr, resolved->ai_addrlen);
   // A connect that a signal interrupts goes on, as a non-blocking one does.
   const bool in_progress = result == 0 || errno == EINPROGRESS || errno == EINTR;
   if (!in_progress) return {Socket(), connect_fault_of(errno)};
@@ -137,11 +137,11 @@
 }
 
 std::string bound_address(const Socket& listener) {
-  sockaddr_storage at{};
-  socklen_t size = sizeof at;
+  sockaddr_storage storage{};
+  socklen_t size = sizeof storage;
   char host[NI_MAXHOST];
   char port[NI_MAXSERV];
-  auto* address = reinterpret_cast<sockaddr*>(&at);
+  auto* address = reinterpret_cast<sockaddr*>(&storage);
   if (getsockname(listener.fd(), address, &size) != 0) return {};
   constexpr int numeric = NI_NUMERICHOST | NI_NUMERICSERV;
   if (getnameinfo(address, size, host, sizeof host, port, sizeof port, numeric) != 0) return {};
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kReadsPerTurn = 8;  // one busy peer must not keep the others waiting
 
-StreamEnd end_of_error(int error) {
+StreamEnd end_cause_of(int error) {
   const bool by_peer = error == ECONNRESET || error == EPIPE || error == ECONNREFUSED;
   return by_peer ? StreamEnd::reset_by_peer : StreamEnd::network_failure;
 }
@@ -20,7 +20,7 @@
 Stream::Stream(Loop& loop, BufferPool& pool, Socket socket, bool connecting)
     : loop_(loop),
       socket_(std::move(socket)),
-      outbox_(pool, [this] { discarded(); }),
+      outbox_(pool, [this] { outbox_discarded(); }),
       phase_(connecting ? Phase::connecting : Phase::established) {
   if (!socket_) phase_ = Phase::closed;
   if (socket_) watch();
@@ -48,7 +48,7 @@
   if (connecting() || ending()) return false;
   const auto status = outbox_.write_to(socket_.fd());
   if (status == Outbox::WriteStatus::failed) {
-    note_end(end_of_error(errno));
+    set_end_cause(end_cause_of(errno));
     end_later();
     return false;
   }
@@ -99,12 +99,12 @@
   return system_calls().poll(&descriptor, 1, 0) != 0;
 }
 
-void Stream::discarded() {
+void Stream::outbox_discarded() {
   backlog_discarded();
   end_later();
 }
 
-void Stream::note_end(StreamEnd cause) {
+void Stream::set_end_cause(StreamEnd cause) {
   if (end_cause_ == StreamEnd::local) end_cause_ = cause;
 }
 
@@ -121,7 +121,7 @@
   if (connecting()) {
     const int error = pending_error(socket_);
     if (error != 0 || (events & (POLLERR | POLLNVAL)) != 0) {
-      note_end(end_of_error(error));
+      set_end_cause(end_cause_of(error));
       return end();
     }
     if ((events & POLLOUT) == 0) return;
@@ -136,14 +136,14 @@
 void Stream::read() {
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsPerTurn && socket_ && !end_requested_; ++i) {
-    const ssize_t got = system_calls().receive(socket_.fd(), block.data(), block.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (got <= 0) {
-      note_end(got == 0 ? StreamEnd::closed_by_peer : end_of_error(errno));
+    const ssize_t size_read = system_calls().receive(socket_.fd(), block.data(), block.size());
+    if (size_read < 0 && errno == EINTR) continue;
+    if (size_read < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (size_read <= 0) {
+      set_end_cause(size_read == 0 ? StreamEnd::closed_by_peer : end_cause_of(errno));
       return end();
     }
-    const auto size = static_cast<std::size_t>(got);
+    const auto size = static_cast<std::size_t>(size_read);
     if (discards_input_) {
       discard_input(size);
     } else {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -105,9 +105,9 @@
   void watch();
   void linger();
   void discard_input(std::size_t size);
-  void discarded();
+  void outbox_discarded();
   void read();
-  void note_end(StreamEnd cause);
+  void set_end_cause(StreamEnd cause);
 };
 
 }  // namespace pathstack::net
--- a/tests/invoker/host_connections_test.cpp
+++ b/tests/invoker/host_connections_test.cpp
@@ -216,10 +216,10 @@
 
 // Failure found in review: bytes given to an ending connection were dropped, and the attempt counted as run.
 TEST_CASE("a call that comes in the very turn in which an idle connection ends goes out on a new one") {
-  struct Desk final : core::Front {
-    std::vector<core::CallStatus> verdicts;
-    void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.status); }
-  } desk;
+  struct RecordingFront final : core::Front {
+    std::vector<core::CallStatus> statuses;
+    void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
+  } front;
   hosts::Limits limits = World::limits();
   limits.idle = Millis(50);
   World world(1, settings(), limits);
@@ -232,15 +232,15 @@
     c.concurrency = 4;
     c.arrived = world.loop.now();
     c.client_timeout = Millis(1000);
-    world.dispatcher.take(world.dispatcher.next_id(), std::move(c), desk);
+    world.dispatcher.take(world.dispatcher.next_id(), std::move(c), front);
   };
   call("000000000000000a");
-  REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 1; }, 20000));
+  REQUIRE(world.turn_until([&] { return front.statuses.size() == 1; }, 20000));
   const Millis due = world.loop.now() + Millis(50);
   world.loop.at(due, [&] { call("000000000000000b"); });
   while (world.loop.now() < due) {}  // both timers ring in one turn, the connection's first
-  REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 2; }, 20000));
-  CHECK(desk.verdicts[1] == core::CallStatus::served);
+  REQUIRE(world.turn_until([&] { return front.statuses.size() == 2; }, 20000));
+  CHECK(front.statuses[1] == core::CallStatus::served);
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -18,8 +18,8 @@
 constexpr Millis kMaxWait{10000};
 
 struct RecordingFront final : core::Front {
-  std::vector<core::CallStatus> verdicts;
-  void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.status); }
+  std::vector<core::CallStatus> statuses;
+  void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
 };
 
 void take_call(World& world, RecordingFront& front, const std::string& ref, Millis allow) {
@@ -80,8 +80,8 @@
   CHECK(world.counters.value(core::Counter::hosts_connect_local_faults) == 1);
   CHECK(world.counters.value(core::Counter::hosts_connect_failed) == 0);
   calls.socket_error = calls.connect_error = 0;
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
-  CHECK(front.verdicts == std::vector<core::CallStatus>{core::CallStatus::served});
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
+  CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::served});
   CHECK(world.host[0]->execs == 1);
   CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 1);
@@ -96,16 +96,16 @@
   const net::ScopedSystemCalls scope(calls);
   calls.connect_error = EADDRNOTAVAIL;
   take_call(world, front, "000000000000000a", Millis(500));
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
-  CHECK(front.verdicts == std::vector<core::CallStatus>{core::CallStatus::refused});
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
+  CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::refused});
   // Waits of 4, 8, 16 and 32 ms, then of 64: at most twelve within 500 ms, and six that grow short at the
   // end.
   CHECK(calls.connects >= 2);
   CHECK(calls.connects <= 18);
   calls.connect_error = 0;
   take_call(world, front, "000000000000000b", Millis(1400));
-  REQUIRE(world.turn_until([&] { return front.verdicts.size() == 2; }, kMaxTurns));
-  CHECK(front.verdicts[1] == core::CallStatus::served);
+  REQUIRE(world.turn_until([&] { return front.statuses.size() == 2; }, kMaxTurns));
+  CHECK(front.statuses[1] == core::CallStatus::served);
   CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
 }
 
@@ -119,8 +119,8 @@
   calls.connect_error = ENOBUFS;
   calls.connect_faults = 3;
   take_call(world, front, "000000000000000a", Millis(1400));
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
-  CHECK(front.verdicts == std::vector<core::CallStatus>{core::CallStatus::served});
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
+  CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::served});
   CHECK(calls.connects == 4);
   CHECK(world.counters.value(core::Counter::guard_send_stopped) == 0);
 }
@@ -131,7 +131,7 @@
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
   take_call(world, front, "000000000000000a", Millis(1400));  // the module knows the function from here on
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
   world.host[0]->server.peers.front()->end_later();
   REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_ended) == 1; },
                            kMaxTurns));
@@ -152,8 +152,8 @@
   const net::ScopedSystemCalls scope(calls);
   calls.interrupt_connects = true;
   take_call(world, front, "000000000000000a", Millis(1400));
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
-  CHECK(front.verdicts == std::vector<core::CallStatus>{core::CallStatus::served});
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
+  CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::served});
   CHECK(calls.connects == 1);
 }
 
@@ -348,8 +348,8 @@
   RecordingFront front;
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "full"}; };
   take_call(world, front, "000000000000000a", Millis(900));
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, kMaxTurns));
-  CHECK(front.verdicts == std::vector<core::CallStatus>{core::CallStatus::refused});
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
+  CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::refused});
   CHECK(world.host[0]->execs == 1);
   CHECK(world.counters.value(core::Counter::hosts_no_link) >= 1);
   CHECK(world.counters.value(core::Counter::hosts_no_link) <= 30);
@@ -365,10 +365,10 @@
   World world(1, loading_by_order);
   RecordingFront front;
   const auto serve = [&](const char* ref) {
-    const std::size_t before = front.verdicts.size();
+    const std::size_t before = front.statuses.size();
     take_call(world, front, ref, Millis(1400));
-    REQUIRE(world.turn_until([&] { return front.verdicts.size() > before; }));
-    CHECK(front.verdicts.back() == core::CallStatus::served);
+    REQUIRE(world.turn_until([&] { return front.statuses.size() > before; }));
+    CHECK(front.statuses.back() == core::CallStatus::served);
   };
   const bool stale = GENERATE(true, false);
   if (stale) {
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 using Kind = Reaction::Kind;
-using Late = hosts::RefHistory::Late;
-using Verdict = hosts::Liveness::Verdict;
+using LateAnswer = hosts::RefHistory::LateAnswer;
+using Status = hosts::Liveness::Status;
 
-struct CountingFront final : core::Front {
-  std::vector<core::CallStatus> verdicts;
-  void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.status); }
+struct RecordingFront final : core::Front {
+  std::vector<core::CallStatus> statuses;
+  void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
 };
 
 TEST_CASE("a ref is used again only once no answer to its ended attempt can come") {
@@ -28,7 +28,7 @@
     history.answered("a", Millis(10));
     CHECK_FALSE(history.reusable("a", Millis(110)));
     CHECK(history.reusable("a", Millis(111)));
-    CHECK(history.take_late_answer("a", Millis(60)) == Late::duplicate);
+    CHECK(history.record_late_answer("a", Millis(60)) == LateAnswer::duplicate);
   }
   SECTION("a dropped one once the host has answered what was written behind the drop") {
     history.cancelled("a", Millis(10), 500);
@@ -40,11 +40,11 @@
   }
   SECTION("a late answer to a dropped one begins the duplicate window") {
     history.cancelled("a", Millis(10), 500);
-    CHECK(history.take_late_answer("a", Millis(300)) == Late::first);
-    CHECK(history.take_late_answer("a", Millis(310)) == Late::duplicate);
+    CHECK(history.record_late_answer("a", Millis(300)) == LateAnswer::first);
+    CHECK(history.record_late_answer("a", Millis(310)) == LateAnswer::duplicate);
     CHECK_FALSE(history.reusable("a", Millis(400)));
     CHECK(history.reusable("a", Millis(401)));
-    CHECK(history.take_late_answer("b", Millis(401)) == Late::unknown);
+    CHECK(history.record_late_answer("b", Millis(401)) == LateAnswer::unknown);
   }
   SECTION("it is forgotten in the end, but not for an older use of the same ref") {
     history.cancelled("a", Millis(10), 500);
@@ -61,19 +61,19 @@
   hosts::Liveness liveness;
   liveness.connected(Millis(1000));
   liveness.sent(Millis(1000));
-  CHECK(liveness.judge(Millis(1200), Millis(1000), 1) == Verdict::fine);
-  CHECK(liveness.judge(Millis(1201), Millis(1000), 1) == Verdict::check_due);
-  CHECK(liveness.judge(Millis(1400), Millis(4000), 1) == Verdict::fine);
+  CHECK(liveness.evaluate(Millis(1200), Millis(1000), 1) == Status::ok);
+  CHECK(liveness.evaluate(Millis(1201), Millis(1000), 1) == Status::check_due);
+  CHECK(liveness.evaluate(Millis(1400), Millis(4000), 1) == Status::ok);
   liveness.checked(Millis(1201));
-  CHECK(liveness.judge(Millis(1451), Millis(1000), 1) == Verdict::fine);
-  CHECK(liveness.judge(Millis(1452), Millis(1000), 1) == Verdict::silent);
+  CHECK(liveness.evaluate(Millis(1451), Millis(1000), 1) == Status::ok);
+  CHECK(liveness.evaluate(Millis(1452), Millis(1000), 1) == Status::unresponsive);
   liveness.received(Millis(1300), false, true);
-  CHECK(liveness.judge(Millis(1700), Millis(1000), 1) == Verdict::fine);
-  CHECK(liveness.judge(Millis(1701), Millis(1000), 1) == Verdict::check_due);
+  CHECK(liveness.evaluate(Millis(1700), Millis(1000), 1) == Status::ok);
+  CHECK(liveness.evaluate(Millis(1701), Millis(1000), 1) == Status::check_due);
   liveness.reset_backoff();
-  CHECK(liveness.judge(Millis(1501), Millis(1000), 1) == Verdict::check_due);
+  CHECK(liveness.evaluate(Millis(1501), Millis(1000), 1) == Status::check_due);
   liveness.received(Millis(1600), true, false);
-  CHECK(liveness.judge(Millis(1801), Millis(1000), 1) == Verdict::answer_cut_off);
+  CHECK(liveness.evaluate(Millis(1801), Millis(1000), 1) == Status::answer_incomplete);
 }
 
 TEST_CASE("the load budget holds by the time at which orders are written") {
@@ -97,11 +97,11 @@
   world.host[0]->react = [&](const std::string&) {
     return ++execs < 3 ? Reaction{Kind::reply, "full"} : Reaction();
   };
-  CountingFront front;
+  RecordingFront front;
   core::Call call = call_of("000000000000000a", world.loop.now(), Millis(1400));
   REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
-  REQUIRE(world.turn_until([&] { return !front.verdicts.empty(); }, 20000));
-  CHECK(front.verdicts[0] == core::CallStatus::served);
+  REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, 20000));
+  CHECK(front.statuses[0] == core::CallStatus::served);
   CHECK(execs == 3);
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 1);
 }
@@ -186,7 +186,7 @@
   s.load_floor = 0;
   s.load_ratio = 1;
   World world(1, s);
-  CountingFront front;
+  RecordingFront front;
   const auto take_call = [&](const std::string& ref) {
     core::Call call = call_of(ref, world.loop.now(), Millis(1400));
     REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
@@ -196,7 +196,7 @@
   const bool window_passes = GENERATE(true, false);
   const Millis until = world.loop.now() + s.load_window + Millis(10);
   while (window_passes && world.loop.now() < until) {}  // the connection is not up before the next turn
-  REQUIRE(world.turn_until([&] { return front.verdicts.size() == 1; }, 20000));
+  REQUIRE(world.turn_until([&] { return front.statuses.size() == 1; }, 20000));
   CHECK(world.host[0]->orders == (window_passes ? 0 : 1));
   CHECK(world.counters.value(core::Counter::guard_load_stopped) == (window_passes ? 1 : 0));
 }
