--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -22,12 +22,12 @@
 hosts::Limits host_limits(const config::Config& config) {
   hosts::Limits limits;
   limits.connect_timeout = config.settings.connect_timeout;
-  limits.idle = config.connection_idle;
+  limits.idle_timeout = config.connection_idle;
   limits.order_timeout = config.settings.order_timeout;
-  limits.probes = config.settings.probes;
+  limits.allow_probes = config.settings.probes;
   limits.drain_grace = config.settings.drain_grace;
-  limits.attempts_a_link = config.attempts_a_link;
-  limits.links = config.sockets / kDescriptorParts;
+  limits.max_attempts_per_connection = config.attempts_a_link;
+  limits.max_connections = config.sockets / kDescriptorParts;
   limits.report_fields = config.report_fields;
   return limits;
 }
--- a/src/app/signal_pipe.cpp
+++ b/src/app/signal_pipe.cpp
@@ -68,7 +68,7 @@
 
 SignalPipe::~SignalPipe() {
   g_write_fd = -1;
-  loop_.forget(read_end_.fd(), *this);
+  loop_.unwatch(read_end_.fd(), *this);
 }
 
 void SignalPipe::install_handlers() {
--- a/src/hosts/connection.cpp
+++ b/src/hosts/connection.cpp
@@ -8,7 +8,8 @@
 
 using core::Outcome;
 
-constexpr Millis kSuspectAfterSilence{400};  // an attempt cancelled after such a silence: the host may be cut off
+constexpr Millis kSuspectAfterSilence{
+    400};  // an attempt cancelled after such a silence: the host may be cut off
 constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
 constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
 constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
@@ -38,7 +39,7 @@
       requests_(
           loop, *this, limits.order_timeout, [this] { return observer_.take_load_budget(); },
           [this](const OpenRequest& request) { request_timed_out(request); }),
-      monitor_(loop, *this, counters, attempts_, requests_, limits.probes) {
+      monitor_(loop, *this, counters, attempts_, requests_, limits.allow_probes) {
   idle_timer_ = loop.at(loop.now() + limits_.connect_timeout, [this] {
     counters_.add(core::Counter::hosts_connect_timeouts);
     end_later();
@@ -55,7 +56,7 @@
 
 bool Connection::accepts(const std::string& ref) const {
   const bool usable = !ending() && !retired_ && !suspect_;
-  return usable && attempts_.size() < limits_.attempts_a_link && !attempts_.contains(ref) &&
+  return usable && attempts_.size() < limits_.max_attempts_per_connection && !attempts_.contains(ref) &&
          history_.reusable(ref, loop().now());
 }
 
@@ -224,7 +225,7 @@
   loop().cancel(idle_timer_);
   if (load() > 0) return;
   const bool usable = !retired_ && !suspect_;
-  const Millis idle = usable ? limits_.idle * kIdleShare : Millis(0);
+  const Millis idle = usable ? limits_.idle_timeout * kIdleShare : Millis(0);
   idle_timer_ = loop().at(loop().now() + idle, [this] { end_later(); });
 }
 
--- a/src/hosts/connection.h
+++ b/src/hosts/connection.h
@@ -112,7 +112,7 @@
   LivenessMonitor monitor_;
   bool retired_ = false;             // nothing new goes here
   bool replaced_ = false;            // its host runs another process now
-  bool suspect_ = false;    // it had been silent for long when an attempt was cancelled
+  bool suspect_ = false;             // it had been silent for long when an attempt was cancelled
   net::Loop::TimerId idle_timer_{};  // while connecting, the connect time-out
   net::Loop::TimerId drain_timer_{};
 
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -15,7 +15,8 @@
                                Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)) {
   // Where a connection carries few calls, a fixed number of them would keep a host's slots empty.
-  limits_.links_a_host = std::max(limits_.links_a_host, limits_.calls_a_host / limits_.attempts_a_link);
+  limits_.max_connections_per_host = std::max(
+      limits_.max_connections_per_host, limits_.max_calls_per_host / limits_.max_attempts_per_connection);
 }
 
 ConnectionPool::~ConnectionPool() = default;
@@ -105,8 +106,8 @@
   }
   if (least_loaded != nullptr) return {least_loaded};
   // With more hosts than connections may be up, those to hosts used a while ago would keep out all others.
-  const bool may_open =
-      counted < limits_.links_a_host && (connections_ < limits_.links || close_idle_connection());
+  const bool may_open = counted < limits_.max_connections_per_host &&
+                        (connections_ < limits_.max_connections || close_idle_connection());
   if (may_open) return open_connection(host);
   counters_.add(core::Counter::hosts_no_link);
   return {nullptr, Outcome::not_sent};
@@ -215,7 +216,8 @@
 bool ConnectionPool::may_still_write(Millis added_at) {
   const Millis now = loop_.now();
   if (now <= list_current_until_) return true;
-  const Millis longest = pathstack::policy::longest_connection_wait(limits_.drain_grace, limits_.probes);
+  const Millis longest =
+      pathstack::policy::longest_connection_wait(limits_.drain_grace, limits_.allow_probes);
   if (now - added_at <= longest) return true;
   counters_.add(core::Counter::guard_waited_too_long);
   return false;
@@ -233,12 +235,13 @@
   loop_.defer_destruction(*found);
   connections.erase(found);
   const bool closed_by_host = connection.end_cause() == net::StreamEnd::closed_by_peer ||
-                       connection.end_cause() == net::StreamEnd::reset_by_peer;
-  const bool has_other_connection = std::any_of(connections.begin(), connections.end(), [](const auto& other) {
-    return other->open() && other->counts_for_host();
-  });
+                              connection.end_cause() == net::StreamEnd::reset_by_peer;
+  const bool has_other_connection =
+      std::any_of(connections.begin(), connections.end(),
+                  [](const auto& other) { return other->open() && other->counts_for_host(); });
   const bool was_to_current_process = connection.was_up() && !connection.is_replaced();
-  if (was_to_current_process && closed_by_host && !has_other_connection) dispatcher_->connections_lost(connection.host());
+  if (was_to_current_process && closed_by_host && !has_other_connection)
+    dispatcher_->connections_lost(connection.host());
 }
 
 }  // namespace pathstack::hosts
--- a/src/hosts/wire.h
+++ b/src/hosts/wire.h
@@ -43,7 +43,7 @@
 struct Answer {
   std::string id;  // the ref of an attempt, or the tag of another request
   core::Outcome outcome = core::Outcome::error;
-  bool probe_only = false;            // its word belongs to probes and health checks alone
+  bool probe_only = false;          // its word belongs to probes and health checks alone
   int concurrent_calls = 0;         // calls of the same function that the host holds
   int instances = 0;                // of the function that a load order named
   core::Report report;              // nothing unless complete
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -40,7 +40,7 @@
   Lease take(const Outbox& requester);
 
   /// The number of blocks in use.
-  std::size_t out() const { return allocated_ - free_.size(); }
+  std::size_t blocks_in_use() const { return allocated_ - free_.size(); }
 
  private:
   friend class Outbox;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -39,14 +39,15 @@
   entry.events = events;
 }
 
-void Loop::forget(int fd, Handler& handler) {
+void Loop::unwatch(int fd, Handler& handler) {
   const auto index = static_cast<std::size_t>(fd);
   if (fd >= 0 && index < by_fd_.size() && by_fd_[index].handler == &handler) by_fd_[index] = Entry();
   std::replace(pending_flushes_.begin(), pending_flushes_.end(), &handler, static_cast<Handler*>(nullptr));
 }
 
 void Loop::flush_later(Handler& handler) {
-  const bool is_due = std::find(pending_flushes_.begin(), pending_flushes_.end(), &handler) != pending_flushes_.end();
+  const bool is_due =
+      std::find(pending_flushes_.begin(), pending_flushes_.end(), &handler) != pending_flushes_.end();
   if (!is_due) pending_flushes_.push_back(&handler);
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -69,7 +69,7 @@
 
   /// Must be called before `fd` is closed or `handler` destroyed: events of a reused descriptor would else go
   /// to the wrong handler. Also drops a flush that is due. Cost: the number of flushes due in this turn.
-  void forget(int fd, Handler& handler);
+  void unwatch(int fd, Handler& handler);
 
   /// Calls `handler.flush()` once at the end of this turn. Cost: the number of flushes due in this turn.
   void flush_later(Handler& handler);
@@ -96,7 +96,7 @@
   std::vector<Entry> by_fd_;
   std::vector<pollfd> polled_;
   std::vector<std::uint64_t> polled_serials_;  // of the entries behind `polled_`
-  std::vector<Handler*> pending_flushes_;            // null: ended since
+  std::vector<Handler*> pending_flushes_;      // null: ended since
   std::map<TimerId, std::function<void()>> timers_;
   std::vector<std::shared_ptr<void>> deferred_;
   std::uint64_t last_serial_ = 0;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -86,7 +86,8 @@
   if (!socket) return {Socket(), last_error()};
   const int on = 1;
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (system_calls().bind(socket.fd(), resolved->ai_addr, resolved->ai_addrlen) != 0) return {Socket(), last_error()};
+  if (system_calls().bind(socket.fd(), resolved->ai_addr, resolved->ai_addrlen) != 0)
+    return {Socket(), last_error()};
   if (system_calls().listen(socket.fd(), kListenBacklog) != 0) return {Socket(), last_error()};
   return {std::move(socket), {}};
 }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -28,7 +28,7 @@
 
 Stream::~Stream() {
   loop_.cancel(linger_timer_);
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
 }
 
 void Stream::watch() {
@@ -111,7 +111,7 @@
 void Stream::end() {
   if (!socket_) return;
   loop_.cancel(linger_timer_);
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
   socket_.close();
   phase_ = Phase::closed;
   ended();
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -23,7 +23,7 @@
 
 Listener::~Listener() {
   loop_.cancel(resume_timer_);
-  if (socket_) loop_.forget(socket_.fd(), *this);
+  if (socket_) loop_.unwatch(socket_.fd(), *this);
 }
 
 std::error_code Listener::listen(const std::string& address) {
@@ -39,7 +39,7 @@
   for (int i = 0; i < kMaxAcceptRoundsAtStop && may_have_more(status); ++i) status = accept_some();
   if (status != net::AcceptStatus::none_waiting) return false;
   loop_.cancel(resume_timer_);
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
   socket_.close();
   return true;
 }
@@ -69,7 +69,7 @@
   if (paused_) return;
   paused_ = true;
   if (!waiting_since_) waiting_since_ = loop_.turn_began();
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
   backoff_ = std::min(std::max(backoff_ * 2, kMinBackoff), kMaxBackoff);
   resume_timer_ = loop_.at(loop_.now() + backoff_, [this] { resume(); });
 }
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -182,7 +182,7 @@
   REQUIRE(p.turn_until([&] { return p.count(core::Counter::resp_malformed) == 1 && p.host().execs == 1; }));
   CHECK(client.read() == State::open);
   client.close();
-  REQUIRE(p.turn_until([&] { return p.host().drops == 1; }));
+  REQUIRE(p.turn_until([&] { return p.host().cancels == 1; }));
   CHECK(p.world.dispatcher.open() == 0);
   CHECK(p.front.closed());
 }
@@ -197,7 +197,7 @@
   client.send_all(p, call("1") + kGarbage);
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.answers() == std::vector<resp::Words>{{"1", "FAILED"}});
-  CHECK(p.turn_until([&] { return p.host().drops == 1; }));
+  CHECK(p.turn_until([&] { return p.host().cancels == 1; }));
   CHECK(p.world.loop.now() - began < Millis(1400));
 }
 
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -135,7 +135,7 @@
   } else {
     c.end_later();
   }
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->drops == 1; }, 20000));
+  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->cancels == 1; }, 20000));
   CHECK(p.world.dispatcher.open() == 0);
   CHECK(c.got.empty());
 }
@@ -266,7 +266,7 @@
     }
     const ssize_t sent = send(deaf.fd(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
     if (sent > 0) unsent.erase(0, static_cast<std::size_t>(sent));
-    return p.world.pool.out() + 2 >= kBuffers;
+    return p.world.pool.blocks_in_use() + 2 >= kBuffers;
   };
   REQUIRE(p.world.turn_until(used_up, 20000));
   for (int i = 2; i <= 6; ++i) {
@@ -322,7 +322,7 @@
     "an answer that breaks off, or a host that hangs up: a bin-record is failed, a bin-check goes "
     "elsewhere") {
   Platform p(2);
-  const auto kind = GENERATE(Kind::half, Kind::hang_up);
+  const auto kind = GENERATE(Kind::truncated, Kind::close);
   int broken = 0;
   for (auto& h : p.world.host) {
     h->react = [&](const std::string&) { return broken++ == 0 ? Reaction{kind, "data"} : Reaction(); };
--- a/tests/invoker/host_connections_test.cpp
+++ b/tests/invoker/host_connections_test.cpp
@@ -14,12 +14,12 @@
 TEST_CASE("an answer that is spoilt or never whole ends its connection once; the host goes on with calls") {
   Platform p(1);
   // no_length: found in review; an answer cut short of its length was served as an empty body.
-  const auto kind = GENERATE(Kind::noise, Kind::stall, Kind::silence, Kind::no_length);
+  const auto kind = GENERATE(Kind::malformed, Kind::stall, Kind::silence, Kind::missing_length);
   int execs = 0;
   p.world.host[0]->react = [&](const std::string&) {
     return execs++ == 1 ? Reaction{kind, "data"} : Reaction();
   };
-  p.world.host[0]->mute = true;
+  p.world.host[0]->ignores_health_checks = true;
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
@@ -44,14 +44,14 @@
   auto& host = *p.world.host[0];
   host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
-  host.mute = GENERATE(false, true);
+  host.ignores_health_checks = GENERATE(false, true);
   c.call("1", "bin-record", "x", 1500);
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "FAILED");
   const auto checks = p.world.counters.value(core::Counter::hosts_health_checks);
   CHECK(checks >= 1);
   CHECK(checks <= 2);
-  CHECK(p.world.counters.value(core::Counter::hosts_silent_links) == (host.mute ? 1 : 0));
+  CHECK(p.world.counters.value(core::Counter::hosts_silent_links) == (host.ignores_health_checks ? 1 : 0));
 }
 
 // Failure found in review: each health check answered during a load doubled the time to the next for good.
@@ -59,14 +59,14 @@
   hosts::Limits limits = World::limits();
   limits.order_timeout = Millis(1700);
   World world(1, settings(), limits);
-  world.host[0]->loads = true;
+  world.host[0]->ignores_load_orders = true;
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   world.fleet.order_load("h0", 0xa1, 1);
   const Millis began = world.loop.now();
   REQUIRE(
       world.turn_until([&] { return world.loop.now() - began > limits.order_timeout + Millis(50); }, 20000));
   CHECK(world.counters.value(core::Counter::hosts_health_checks) >= 2);
-  world.host[0]->mute = true;
+  world.host[0]->ignores_health_checks = true;
   const core::Call call = call_of("000000000000000a");
   world.fleet.send_attempt({1, 0}, "h0", call, Millis(1000));
   const Millis sent = world.loop.now();
@@ -78,7 +78,7 @@
 // Failure found in review: health checks were sent at sites whose settings forbid probes.
 TEST_CASE("no health check is sent where probes are not allowed") {
   hosts::Limits limits = World::limits();
-  limits.probes = false;
+  limits.allow_probes = false;
   World world(1, settings(), limits);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   const core::Call call = call_of("000000000000000a");
@@ -91,7 +91,7 @@
 
 TEST_CASE("an answer that brings more than belongs to it is taken; nothing new goes over its connection") {
   Platform p(1);
-  const auto kind = GENERATE(Kind::twice, Kind::stranger);
+  const auto kind = GENERATE(Kind::duplicate, Kind::unknown_ref);
   const std::string word = GENERATE("data", "full");
   int execs = 0;
   p.world.host[0]->react = [&](const std::string&) {
@@ -138,8 +138,8 @@
 // Failure found on a variant of the settings: where a connection carries one call, a host got four at most.
 TEST_CASE("a host gets as many connections as its calls need, and a bound on them") {
   hosts::Limits limits = World::limits();
-  limits.attempts_a_link = 1;
-  limits.calls_a_host = 12;
+  limits.max_attempts_per_connection = 1;
+  limits.max_calls_per_host = 12;
   World world(1, settings(), limits);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   for (core::CallId id = 1; id <= 20; ++id) {
@@ -154,7 +154,7 @@
 // Failure found in review: connections to hosts used a while ago kept all other hosts from being reached.
 TEST_CASE("with as many connections as may be up, an idle one makes room for a host that has none") {
   hosts::Limits limits = World::limits();
-  limits.links = 2;
+  limits.max_connections = 2;
   World world(4, settings(), limits);
   core::CallId calls = 0;
   const auto run = [&](std::size_t host) {
@@ -221,7 +221,7 @@
     void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
   } front;
   hosts::Limits limits = World::limits();
-  limits.idle = Millis(50);
+  limits.idle_timeout = Millis(50);
   World world(1, settings(), limits);
   const auto call = [&](const char* ref) {
     core::Call c;
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -188,7 +188,7 @@
   single.connect();
   single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(5000));
   single.connection->order_load("t1", 0xa1, 1);
-  single.host.loads = true;
+  single.host.ignores_load_orders = true;
   REQUIRE(single.turn_until([&] { return single.host.execs == 1 && single.host.orders == 1; }));
   Outcome expected = Outcome::reset;
   SECTION("read fails") {
@@ -220,7 +220,7 @@
 
 TEST_CASE("a host that is silent on a connection is not reported as dead") {
   SingleConnection single;
-  single.host.mute = true;
+  single.host.ignores_health_checks = true;
   single.connect();
   single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   REQUIRE(single.turn_until([&] { return single.closed; }));
@@ -343,7 +343,8 @@
 // Failure found in review: a retry for which its host had no connection left made the host suspect.
 TEST_CASE("a retry for which no further connection may be opened costs its host no probe") {
   hosts::Limits limits = World::limits();
-  limits.links_a_host = limits.calls_a_host = 1;  // and a ref is not used again there within a second
+  limits.max_connections_per_host = limits.max_calls_per_host =
+      1;  // and a ref is not used again there within a second
   World world(1, settings(), limits);
   RecordingFront front;
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "full"}; };
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -130,7 +130,7 @@
 // Failure found in review: connections to a host's former process counted among those to its new one.
 TEST_CASE("the connections of a host's former process do not keep calls from its new one") {
   hosts::Limits limits = World::limits();
-  limits.links_a_host = limits.calls_a_host = 1;
+  limits.max_connections_per_host = limits.max_calls_per_host = 1;
   World world(1, settings(), limits);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   world.fleet.send_attempt({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
--- a/tests/invoker/net_test.cpp
+++ b/tests/invoker/net_test.cpp
@@ -30,7 +30,7 @@
     REQUIRE(box.append(part));
     if (below(random, 2) == 0) CHECK(box.write_to(out.fd()) != net::Outbox::WriteStatus::failed);
     if (below(random, 2) == 0) read();
-    while (pool.out() > 4) {
+    while (pool.blocks_in_use() > 4) {
       box.write_to(out.fd());
       read();
     }
@@ -42,7 +42,7 @@
   CHECK(got == sent);
   CHECK(box.appended() == sent.size());
   CHECK(box.written() == sent.size());
-  CHECK(pool.out() == 0);
+  CHECK(pool.blocks_in_use() == 0);
 }
 
 TEST_CASE("the pool's bound holds, and a write past it is reported") {
@@ -51,9 +51,9 @@
     net::Outbox box(pool);
     CHECK(box.append(std::string(2 * net::BufferPool::kBlockSize, 'x')));
     CHECK_FALSE(box.append("x"));
-    CHECK(pool.out() == 2);
+    CHECK(pool.blocks_in_use() == 2);
   }
-  CHECK(pool.out() == 0);
+  CHECK(pool.blocks_in_use() == 0);
 }
 
 TEST_CASE("timers fire in their order; one that was cancelled does not fire") {
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -258,7 +258,7 @@
   CHECK(client.got[0] == resp::Words{"1", "FAILED"});
   REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
   CHECK(site.program->ended() == 0);
-  CHECK(site.host.drops == 1);
+  CHECK(site.host.cancels == 1);
 }
 
 // Starts a program whose address is in use, and waits until it has said so.
--- a/tests/invoker/support/server.h
+++ b/tests/invoker/support/server.h
@@ -25,7 +25,7 @@
   }
   ~Server() override { stop(); }
   void stop() {
-    if (listener_) loop_.forget(listener_.fd(), *this);
+    if (listener_) loop_.unwatch(listener_.fd(), *this);
     listener_.close();
   }
   const std::string& address() const { return address_; }
--- a/tests/invoker/support/stand_in_host.h
+++ b/tests/invoker/support/stand_in_host.h
@@ -14,7 +14,17 @@
 
 // What a stand-in host does with one exec. `stall`: half an answer, and then nothing more on that connection.
 struct Reaction {
-  enum Kind { reply, silence, half, hang_up, stall, twice, stranger, noise, no_length } kind = reply;
+  enum Kind {
+    reply,
+    silence,
+    truncated,
+    close,
+    stall,
+    duplicate,
+    unknown_ref,
+    malformed,
+    missing_length
+  } kind = reply;
   std::string word = "data";
 };
 
@@ -43,19 +53,19 @@
   std::function<Reaction(const std::string& body)> react = [](const std::string&) { return Reaction(); };
   std::map<std::string, int> runs;  // by body: execs that may have run
   std::string last_fields;          // of the last exec, as they came
-  int execs = 0, drops = 0, orders = 0;
-  bool mute = false;   // answers no health check, as if cut off
-  bool loads = false;  // orders to load come to no end
+  int execs = 0, cancels = 0, orders = 0;
+  bool ignores_health_checks = false;  // answers no health check, as if cut off
+  bool ignores_load_orders = false;    // orders to load come to no end
 
  private:
   void take(Peer& peer, const hosts::Reply& line) {
-    if (line.id == "drop") ++drops;
+    if (line.id == "drop") ++cancels;
     if (peer.stalled) return;
-    if (line.id == "health" && !mute) peer.write(line.word + " well - 0\r\n\r\n");
+    if (line.id == "health" && !ignores_health_checks) peer.write(line.word + " well - 0\r\n\r\n");
     if (line.id == "load") peer.write(line.word + " well l=inflight:1;util:0.5 0\r\n\r\n");
     if (line.id == "ensure") {
       ++orders;
-      if (loads) return;
+      if (ignores_load_orders) return;
       peer.write(line.word + " data count=1\r\n");
     }
     if (line.id != "exec") return;
@@ -67,16 +77,16 @@
       ++runs[body];
     const std::string whole = line.word + ' ' + reaction.word + " l=inflight:1;util:0.5 " +
                               std::to_string(body.size()) + "\r\n" + body + "\r\n";
-    if (reaction.kind == Reaction::stranger) peer.write("00000000000000ff data - 1\r\nx\r\n");
-    if (reaction.kind == Reaction::no_length) return peer.write(line.word + " data -\r\n");
-    if (reaction.kind == Reaction::noise) peer.write(line.word + " d\x01ta =,= 3\r\nxyz\r\n");
-    if (reaction.kind == Reaction::twice) peer.write(whole);
-    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::twice) peer.write(whole);
+    if (reaction.kind == Reaction::unknown_ref) peer.write("00000000000000ff data - 1\r\nx\r\n");
+    if (reaction.kind == Reaction::missing_length) return peer.write(line.word + " data -\r\n");
+    if (reaction.kind == Reaction::malformed) peer.write(line.word + " d\x01ta =,= 3\r\nxyz\r\n");
+    if (reaction.kind == Reaction::duplicate) peer.write(whole);
+    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::duplicate) peer.write(whole);
     peer.stalled = reaction.kind == Reaction::stall;
     if (peer.stalled) peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half) peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half) peer.flush_now();
-    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up) peer.end_later();
+    if (reaction.kind == Reaction::truncated) peer.write(whole.substr(0, whole.size() / 2));
+    if (reaction.kind == Reaction::truncated) peer.flush_now();
+    if (reaction.kind == Reaction::truncated || reaction.kind == Reaction::close) peer.end_later();
   }
 };
 
--- a/tests/invoker/triggers_chaos.cpp
+++ b/tests/invoker/triggers_chaos.cpp
@@ -72,8 +72,8 @@
   if (draining && grace_is_over) ++tally_.sent_after_drain;
   const std::size_t dice = below(random_, 1000);
   if (dice < 10) return {Reaction::silence, ""};
-  if (dice < 13) return {Reaction::half, "data"};
-  if (dice < 16) return {Reaction::hang_up, ""};
+  if (dice < 13) return {Reaction::truncated, "data"};
+  if (dice < 16) return {Reaction::close, ""};
   return {Reaction::reply, reply_word(dice)};
 }
 
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -122,7 +122,7 @@
     t.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{200}}});
     REQUIRE(t.answered("a"));
     CHECK(status_of(t.broker.answers_to("a")[0]) == "FAILED");
-    CHECK(t.world.host[0]->drops + t.world.host[1]->drops <= 1);
+    CHECK(t.world.host[0]->cancels + t.world.host[1]->cancels <= 1);
   }
 }
 
--- a/tests/soak/listener.h
+++ b/tests/soak/listener.h
@@ -33,7 +33,7 @@
   /// Connections are refused from now on.
   void close() {
     if (!socket_) return;
-    loop_.forget(socket_.fd(), *this);
+    loop_.unwatch(socket_.fd(), *this);
     socket_.close();
   }
   /// Takes connections again; no effect if it does.
