--- a/tests/invoker/host_connections_test.cpp
+++ b/tests/invoker/host_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections to hosts behind the platform's front, over loopback.
+// Tests of connections to hosts, over loopback; most send calls through the client protocol.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -11,9 +11,9 @@
 
 using Kind = Reaction::Kind;
 
-TEST_CASE("an answer that is spoilt or never whole ends its connection once; the host goes on with calls") {
+TEST_CASE("a malformed or incomplete answer ends its connection once; the host gets further calls") {
   Platform p(1);
-  // no_length: found in review; an answer cut short of its length was served as an empty body.
+  // missing_length: an answer that was cut off before its length was served as an empty body.
   const auto kind = GENERATE(Kind::malformed, Kind::stall, Kind::silence, Kind::missing_length);
   int execs = 0;
   p.world.host[0]->react = [&](const std::string&) {
@@ -38,8 +38,9 @@
   CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
-// Failure found (inc142): 1.2 health checks a request were sent, each a probe, of hosts that loaded a copy.
-TEST_CASE("a link that waits for one long call is checked seldom; one that is cut off is ended") {
+// Guards against too many health checks, each of them a probe: hosts that were loading an instance got 1.2 of
+// them per request (inc142).
+TEST_CASE("a connection with one long call gets few health checks; one to an unreachable host is ended") {
   Platform p(1);
   auto& host = *p.world.host[0];
   host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
@@ -54,8 +55,9 @@
   CHECK(p.world.counters.value(core::Counter::hosts_silent_links) == (host.ignores_health_checks ? 1 : 0));
 }
 
-// Failure found in review: each health check answered during a load doubled the time to the next for good.
-TEST_CASE("health checks answered during a load do not delay the first one for a later call") {
+// Guards against a backoff that is never reset: each health check that was answered during a load doubled the
+// time to the next one for the rest of the connection.
+TEST_CASE("health checks answered during a load do not delay the first health check of a later call") {
   hosts::Limits limits = World::limits();
   limits.order_timeout = Millis(1700);
   World world(1, settings(), limits);
@@ -75,7 +77,7 @@
   CHECK((world.loop.now() - sent).count() < 1500);
 }
 
-// Failure found in review: health checks were sent at sites whose settings forbid probes.
+// Guards against health checks in deployments whose settings forbid probes.
 TEST_CASE("no health check is sent where probes are not allowed") {
   hosts::Limits limits = World::limits();
   limits.allow_probes = false;
@@ -89,7 +91,7 @@
   CHECK(world.counters.value(core::Counter::hosts_health_checks) == 0);
 }
 
-TEST_CASE("an answer that brings more than belongs to it is taken; nothing new goes over its connection") {
+TEST_CASE("a duplicate or unknown answer does not affect calls; its connection accepts no new attempt") {
   Platform p(1);
   const auto kind = GENERATE(Kind::duplicate, Kind::unknown_ref);
   const std::string word = GENERATE("data", "full");
@@ -109,7 +111,7 @@
   CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
-TEST_CASE("a refused connect proves that nothing ran: a bin-record goes on to another host") {
+TEST_CASE("a refused connect proves that nothing ran: a bin-record is sent to another host") {
   Platform p(2);
   p.world.host[0]->server.stop();
   Client c(p.world, p.front.address());
@@ -121,7 +123,7 @@
   CHECK(p.world.counters.value(core::Counter::hosts_links_refused) >= 1);
 }
 
-TEST_CASE("a host notified as draining gets nothing new, and its open calls end there") {
+TEST_CASE("a host that is reported as draining gets no new call") {
   Platform p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
@@ -135,8 +137,8 @@
   CHECK(p.world.host[0]->runs.count("y") == 0);
 }
 
-// Failure found on a variant of the settings: where a connection carries one call, a host got four at most.
-TEST_CASE("a host gets as many connections as its calls need, and a bound on them") {
+// Guards against a fixed limit on connections: with one call per connection, a host got four calls at most.
+TEST_CASE("a host gets as many connections as its calls need, up to a limit") {
   hosts::Limits limits = World::limits();
   limits.max_attempts_per_connection = 1;
   limits.max_calls_per_host = 12;
@@ -151,8 +153,8 @@
   CHECK(world.counters.value(core::Counter::hosts_no_link) == 8);
 }
 
-// Failure found in review: connections to hosts used a while ago kept all other hosts from being reached.
-TEST_CASE("with as many connections as may be up, an idle one makes room for a host that has none") {
+// Guards against idle connections that use up the limit and make all other hosts unreachable.
+TEST_CASE("at the limit of connections, an idle one is closed for a host that has none") {
   hosts::Limits limits = World::limits();
   limits.max_connections = 2;
   World world(4, settings(), limits);
@@ -168,14 +170,15 @@
   world.host[1]->react = world.host[2]->react = [](const std::string&) {
     return Reaction{Kind::silence, ""};
   };
-  CHECK_FALSE((run(1) || run(2)));  // both are in use now: neither may be ended
+  CHECK_FALSE((run(1) || run(2)));  // both connections are in use and must not be closed
   CHECK_FALSE(run(3));
   CHECK(world.counters.value(core::Counter::hosts_no_link) == 1);
   CHECK((world.host[1]->execs == 2 && world.host[2]->execs == 2 && world.host[3]->execs == 0));
 }
 
-// Failure found in review: what waited unread for a host left up to 1 s after the list called it draining.
-TEST_CASE("a call that a host notified as draining has not read is not sent once the grace is over") {
+// Guards against bytes that a host does not read and that are sent up to 1 s after the list reported its
+// drain.
+TEST_CASE("an unsent call to a draining host is not sent after the drain grace") {
   const net::Socket listener = net::listen_on("127.0.0.1:0").socket;
   World world(0);
   const auto tell = [&](pathstack::policy::WorkerState state) {
@@ -192,7 +195,7 @@
     world.fleet.send_attempt({id, 0}, "h0", call, Millis(5000));
   };
   tell(pathstack::policy::WorkerState::ready);
-  exec(0xa, 32U << 20);  // more than the kernel takes for a peer that does not read
+  exec(0xa, 32U << 20);  // more than the kernel buffers for a peer that does not read
   exec(0xb, 1);
   REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_up) == 1; }, 20000));
   const net::Socket peer = net::accept_from(listener).socket;
@@ -214,8 +217,9 @@
   CHECK(got.find(net::hex16(0xb)) == got.npos);
 }
 
-// Failure found in review: bytes given to an ending connection were dropped, and the attempt counted as run.
-TEST_CASE("a call that comes in the very turn in which an idle connection ends goes out on a new one") {
+// Guards against an attempt that is written to an ending connection: its bytes were dropped, and it counted
+// as having run.
+TEST_CASE("a call that arrives in the turn in which an idle connection ends is sent on a new one") {
   struct RecordingFront final : core::Front {
     std::vector<core::CallStatus> statuses;
     void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
@@ -238,13 +242,13 @@
   REQUIRE(world.turn_until([&] { return front.statuses.size() == 1; }, 20000));
   const Millis due = world.loop.now() + Millis(50);
   world.loop.at(due, [&] { call("000000000000000b"); });
-  while (world.loop.now() < due) {}  // both timers ring in one turn, the connection's first
+  while (world.loop.now() < due) {}  // both timers fire in one turn, that of the connection first
   REQUIRE(world.turn_until([&] { return front.statuses.size() == 2; }, 20000));
   CHECK(front.statuses[1] == core::CallStatus::served);
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 2);
 }
 
-TEST_CASE("a host reborn at its old address is reached over a new connection") {
+TEST_CASE("a host that restarted at the same address is reached over a new connection") {
   Platform p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
@@ -257,7 +261,7 @@
   CHECK(p.world.counters.value(core::Counter::hosts_links_opened) == opened + 1);
 }
 
-TEST_CASE("a host that answers nothing: the call is failed at its deadline and the next one asks anew") {
+TEST_CASE("a call to a host that never answers fails at its deadline, and its connection ends") {
   Platform p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -1,4 +1,5 @@
-// Faults of this machine and of the network on connections to hosts: what they say of a host, and what not.
+// Tests of local and network faults on connections to hosts, and of the conclusions drawn from them about a
+// host.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <map>
@@ -28,7 +29,7 @@
   REQUIRE(taken);
 }
 
-/// One connection to one stand-in host, without the pool and the dispatcher.
+/// One connection to one stand-in host, without a pool or a dispatcher.
 struct SingleConnection final : hosts::ConnectionObserver {
   net::Loop loop;
   net::BufferPool pool{64};
@@ -67,8 +68,8 @@
   bool may_write_after_waiting = true;
 };
 
-// Failure found in review: a connect that failed here made the module suspect or eject the host.
-TEST_CASE("a call that a local fault kept back goes out a moment later and costs its host no probe") {
+// Guards against local connect faults that make the decision module suspect or eject the host.
+TEST_CASE("a call is retried after a short local fault, and its host is not probed") {
   const int error = GENERATE(EADDRNOTAVAIL, ENETUNREACH, ENFILE, EMFILE, ENOBUFS, ENOMEM, EAGAIN);
   const bool of_socket = GENERATE(false, true);
   World world(1);
@@ -98,8 +99,8 @@
   take_call(world, front, "000000000000000a", Millis(500));
   REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
   CHECK(front.statuses == std::vector<core::CallStatus>{core::CallStatus::refused});
-  // Waits of 4, 8, 16 and 32 ms, then of 64: at most twelve within 500 ms, and six that grow short at the
-  // end.
+  // Delays of 4, 8, 16 and 32 ms, then of 64 ms: at most twelve within 500 ms, and six shorter ones near the
+  // deadline.
   CHECK(calls.connects >= 2);
   CHECK(calls.connects <= 18);
   calls.connect_error = 0;
@@ -109,7 +110,7 @@
   CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
 }
 
-TEST_CASE("attempts that a local fault kept back do not count against the attempts that a call may have") {
+TEST_CASE("attempts that failed for a local fault do not count against the limit of a call") {
   core::Settings s = settings();
   s.max_attempts = 1;
   World world(1, s);
@@ -125,12 +126,12 @@
   CHECK(world.counters.value(core::Counter::guard_send_stopped) == 0);
 }
 
-TEST_CASE("a load order or a probe that a local fault kept back is no reason to probe its host") {
+TEST_CASE("a load order or probe that failed for a local fault does not cause a probe of its host") {
   World world(1);
   RecordingFront front;
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
-  take_call(world, front, "000000000000000a", Millis(1400));  // the module knows the function from here on
+  take_call(world, front, "000000000000000a", Millis(1400));  // the module knows the function after this call
   REQUIRE(world.turn_until([&] { return !front.statuses.empty(); }, kMaxTurns));
   world.host[0]->server.peers.front()->end_later();
   REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_ended) == 1; },
@@ -145,7 +146,7 @@
   CHECK(calls.connects == connects_before + 2);
 }
 
-TEST_CASE("a connect that a signal interrupts goes on") {
+TEST_CASE("a connect that is interrupted by a signal completes") {
   World world(1);
   RecordingFront front;
   ScriptedCalls calls;
@@ -157,7 +158,7 @@
   CHECK(calls.connects == 1);
 }
 
-TEST_CASE("a connect tells a fault of this machine from a refusal and from an address that can't be read") {
+TEST_CASE("a connect distinguishes a local fault, a refusal and a malformed address") {
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
   CHECK(net::begin_connect("no address").fault == net::ConnectFault::address);
@@ -171,7 +172,7 @@
   }
 }
 
-TEST_CASE("a refused connection is the host's failure, and nothing ran") {
+TEST_CASE("a refused connection is a failure of the host, and nothing ran") {
   SingleConnection single;
   single.host.server.stop();
   single.connect();
@@ -180,8 +181,8 @@
   CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
 }
 
-// Failure found in review: any end of a connection was reported as the reset that shows a dead process.
-TEST_CASE("only a close or a reset shows that the process died; a network that gave up does not") {
+// Guards against reporting every end of a connection as a reset, which indicates a dead process.
+TEST_CASE("only a close or a reset indicates that the process died; a network failure does not") {
   SingleConnection single;
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
@@ -205,7 +206,7 @@
     single.connection->probe("p1");
   }
   SECTION("the host closes") { single.host.server.peers.front()->end_later(); }
-  SECTION("the host sends what can't be understood") {
+  SECTION("the host sends a malformed answer") {
     expected = Outcome::unreachable;
     single.host.server.peers.front()->write("no answer\r\n");
   }
@@ -213,12 +214,12 @@
   CHECK(single.attempts.at({1, 0}) == expected);
   CHECK(single.loads == std::vector<Outcome>{expected});
   if (single.attempts.size() == 2) {
-    CHECK(single.attempts.at({2, 0}) == Outcome::connect_failed);  // it had not left
+    CHECK(single.attempts.at({2, 0}) == Outcome::connect_failed);  // it was not sent
     CHECK(single.probes == std::vector<Outcome>{Outcome::connect_failed});
   }
 }
 
-TEST_CASE("a host that is silent on a connection is not reported as dead") {
+TEST_CASE("a host that is unresponsive on a connection is not reported as dead") {
   SingleConnection single;
   single.host.ignores_health_checks = true;
   single.connect();
@@ -228,8 +229,8 @@
   CHECK(single.attempts.at({1, 0}) == Outcome::unreachable);
 }
 
-// Failure found in review: after a step of the host's clock its restart was not seen as one.
-TEST_CASE("a changed stamp is a restart, whichever way it changed: earlier connections carry nothing new") {
+// Guards against a restart that goes unnoticed because the clock of the host was stepped.
+TEST_CASE("a later or an earlier start time is a restart: earlier connections accept nothing new") {
   World world(1);
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
@@ -247,12 +248,12 @@
   world.tell(pathstack::policy::WorkerState::ready, 0);
   world.tell(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({4, 0}, "h0", call_of("000000000000000d"), Millis(5000));
-  CHECK(calls.connects == 2);  // neither does the same stamp again nor none
+  CHECK(calls.connects == 2);  // neither the same start time nor an unknown one is a restart
 }
 
-// Found with the incident of 2026-12-02: a call chosen in time left when its connection came up, up to 250 ms
-// later.
-TEST_CASE("calls and load orders that have waited too long for their connection are not written") {
+// Guards against a call that was assigned in time but sent when its connection was established, up to 250 ms
+// later (incident of 2026-12-02).
+TEST_CASE("calls and load orders that were queued too long for their connection are not written") {
   SingleConnection single;
   single.host.react = [](const std::string&) { return Reaction(); };
   single.may_write_after_waiting = false;
@@ -271,7 +272,7 @@
   CHECK(single.attempts.at({2, 0}) == Outcome::ok);
 }
 
-TEST_CASE("what waits for a connection while the list is stale is bounded by a part of the drain grace") {
+TEST_CASE("while the list is stale, the wait for a connection is limited to a share of the drain grace") {
   hosts::Limits limits = World::limits();
   limits.drain_grace = Millis(250);
   World world(1, settings(), limits);
@@ -285,7 +286,7 @@
   CHECK(world.counters.value(core::Counter::guard_waited_too_long) == 1);
 }
 
-TEST_CASE("an attempt whose time is over when its connection comes up does not leave") {
+TEST_CASE("an attempt that expired before its connection was established is not sent") {
   SingleConnection single;
   single.host.react = [](const std::string&) { return Reaction(); };
   single.connect();
@@ -293,15 +294,16 @@
   single.connection->exec({1, 0}, call_of("000000000000000a"), timeout);
   single.connection->exec({2, 0}, call_of("000000000000000b"), Millis(5000));
   const Millis until = single.loop.now() + timeout;
-  while (single.loop.now() < until) {}  // the connection is not up before the next turn
+  while (single.loop.now() < until) {}  // the connection is not established before the next turn
   REQUIRE(single.turn_until([&] { return !single.attempts.empty(); }));
   CHECK(single.attempts.at({2, 0}) == Outcome::ok);
   CHECK(single.host.execs == 1);
   CHECK_FALSE(single.connection->cancel({1, 0}));
 }
 
-// Failure found in review: bytes that a host did not read left later, with the time that was left before.
-TEST_CASE("an attempt that its host does not take in never leaves with more time than its client has left") {
+// Guards against an attempt that stays unsent because its host does not read, and is sent later with the
+// time-out of the moment at which it was written.
+TEST_CASE("an attempt that its host does not read is never sent with more time than its client has left") {
   SingleConnection single;
   ScriptedCalls calls;
   const net::ScopedSystemCalls scope(calls);
@@ -309,16 +311,16 @@
   REQUIRE(single.turn_until([&] { return single.connection->open(); }));
   calls.send_error = EAGAIN;
   single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
-  SECTION("it waits") {
+  SECTION("the attempt stays unsent") {
     const Millis until = single.loop.now() + Millis(300);
     REQUIRE(single.turn_until([&] {
-      if (single.loop.now() > until) calls.send_error = 0;  // by then 300 ms of its time are gone
+      if (single.loop.now() > until) calls.send_error = 0;  // 300 ms of its time have passed by then
       return single.closed || single.host.execs > 0;
     }));
     CHECK(single.attempts.at({1, 0}) == Outcome::connect_failed);
     CHECK(single.counters.value(core::Counter::hosts_stalled_links) == 1);
   }
-  SECTION("its client goes") {
+  SECTION("the attempt is cancelled") {
     single.loop.turn(single.loop.now(), [] {});
     CHECK_FALSE(single.connection->cancel({1, 0}));
     calls.send_error = 0;
@@ -334,17 +336,17 @@
   REQUIRE(single.turn_until([&] { return single.connection->open(); }));
   single.connection->exec({1, 0}, call_of("000000000000000a"), Millis(1000));
   const Millis until = single.loop.now() + Millis(100);
-  while (single.loop.now() < until) {}  // nothing is sent before the next turn's end
+  while (single.loop.now() < until) {}  // nothing is sent before the end of the next turn
   REQUIRE(single.turn_until([&] { return single.closed || single.host.execs == 1; }));
   CHECK_FALSE(single.closed);
   CHECK(single.host.execs == 1);
 }
 
-// Failure found in review: a retry for which its host had no connection left made the host suspect.
-TEST_CASE("a retry for which no further connection may be opened costs its host no probe") {
+// Guards against a host that becomes suspect because a retry found no free connection to it.
+TEST_CASE("a retry for which no further connection may be opened does not cause a probe of its host") {
   hosts::Limits limits = World::limits();
-  limits.max_connections_per_host = limits.max_calls_per_host =
-      1;  // and a ref is not used again there within a second
+  // The only connection does not accept the same ref again within one second.
+  limits.max_connections_per_host = limits.max_calls_per_host = 1;
   World world(1, settings(), limits);
   RecordingFront front;
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "full"}; };
@@ -357,9 +359,8 @@
   CHECK(world.counters.value(core::Counter::hosts_probes) == 0);
 }
 
-// Found with the incident of 2026-12-02: a worker that was replaced while the membership log was out of reach
-// was used as if it were warm. All that the invoker can see of it is that the old process closed its
-// connections.
+// Guards against using a worker as warm after it was replaced while the membership log was unreachable
+// (incident of 2026-12-02). The only sign of the replacement is that the old process closed its connections.
 TEST_CASE("a host that closes its last connection while the list is stale counts as a new process") {
   core::Settings loading_by_order = settings();
   loading_by_order.rejects_on_miss = false;
@@ -383,7 +384,7 @@
   for (const auto& peer : world.host[0]->server.peers) peer->end_later();
   REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_links_ended) > 0; }));
   serve("000000000000000c");
-  CHECK(world.host[0]->orders == orders + (stale ? 1 : 0));  // its instances went with the process
+  CHECK(world.host[0]->orders == orders + (stale ? 1 : 0));  // the instances ended with the process
 }
 
 }  // namespace
--- a/tests/invoker/host_wire_test.cpp
+++ b/tests/invoker/host_wire_test.cpp
@@ -1,4 +1,4 @@
-// The words of the hosts' line protocol: requests as they are written, answers as they are understood.
+// Tests of the codec of the hosts' line protocol: encoding of requests and decoding of answers.
 #include <catch2/catch.hpp>
 
 #include "hosts/wire.h"
@@ -15,7 +15,7 @@
   return hosts::AnswerDecoder({"inflight", "util"}).decode(std::move(reply));
 }
 
-TEST_CASE("an attempt is written with its time-out in whole milliseconds and its body") {
+TEST_CASE("an attempt is encoded with its time-out in whole milliseconds and its body") {
   core::Call call = call_of("000000000000000a");
   call.body = "a body";
   CHECK(hosts::encode_exec(hosts::exec_request_of(call), Millis(99.9)) ==
@@ -25,7 +25,7 @@
         "exec 000000000000000a sort=bin-check,asset=00000000000000a1,op=k1,patience=1 6\r\na body\r\n");
 }
 
-TEST_CASE("each other request is one line") {
+TEST_CASE("each other request is encoded as one line") {
   CHECK(hosts::encode_cancel("a") == "drop a\r\n");
   CHECK(hosts::encode_load_order("t1", 0xa1, 2) == "ensure t1 asset=00000000000000a1,count=2\r\n");
   CHECK(hosts::encode_release(0xa1) == "release 00000000000000a1\r\n");
@@ -33,7 +33,7 @@
   CHECK(hosts::encode_health_check("h1") == "health h1\r\n");
 }
 
-TEST_CASE("each word of an answer has its outcome, and only one with a body can serve an attempt") {
+TEST_CASE("each word of an answer maps to an outcome; probe words and data without a body fit no attempt") {
   struct Case {
     const char* word;
     Outcome outcome;
@@ -55,14 +55,14 @@
   CHECK(decode({"a", "full", "", std::nullopt})->fits_attempt());
 }
 
-TEST_CASE("an answer with an unknown word, an id of other characters or broken fields is not understood") {
+TEST_CASE("an answer with an unknown word, an invalid id or malformed fields is rejected") {
   CHECK_FALSE(decode({"a", "date", "", std::nullopt}));
   CHECK_FALSE(decode({"A", "data", "", ""}));
   CHECK_FALSE(decode({"a", "data", "crowd", ""}));
   CHECK_FALSE(decode({"a", "data", "crowd=1,crowd=2", ""}));
 }
 
-TEST_CASE("the numbers of an answer are bounded, and zero where they can't be read") {
+TEST_CASE("the numbers of an answer are bounded, and zero if they are malformed") {
   const auto answer = decode({"a", "data", "crowd=7,count=3", ""});
   CHECK(answer->concurrent_calls == 7);
   CHECK(answer->instances == 3);
@@ -73,7 +73,7 @@
   CHECK(decode({"a", "data", "count=x", ""})->instances == 0);
 }
 
-TEST_CASE("a load report is taken in the order of its fields' names, and only if complete") {
+TEST_CASE("a load report is decoded in the order of the configured fields, and only if complete") {
   CHECK(decode({"a", "well", "l=util:0.5;inflight:3", std::nullopt})->report == std::vector<double>{3, 0.5});
   CHECK_FALSE(decode({"a", "well", "l=util:0.5", std::nullopt})->report);
   CHECK_FALSE(decode({"a", "well", "l=util:x;inflight:3", std::nullopt})->report);
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -1,4 +1,4 @@
-// Connections to hosts: which attempt goes over which one, and when load orders are written.
+// Tests of the choice of a connection for an attempt, of liveness checks, and of the load budget.
 #include <catch2/catch.hpp>
 
 #include "core/load_budget.h"
@@ -21,16 +21,16 @@
   void answer(core::CallId, core::Answer&& answer) override { statuses.push_back(answer.status); }
 };
 
-TEST_CASE("a ref is used again only once no answer to its ended attempt can come") {
+TEST_CASE("a ref is reused only when no answer to its ended attempt can arrive") {
   hosts::RefHistory history(Millis(100));
   CHECK(history.reusable("a", Millis(0)));
-  SECTION("an answered one after the duplicate window") {
+  SECTION("the ref of an answered attempt: after the duplicate window") {
     history.answered("a", Millis(10));
     CHECK_FALSE(history.reusable("a", Millis(110)));
     CHECK(history.reusable("a", Millis(111)));
     CHECK(history.record_late_answer("a", Millis(60)) == LateAnswer::duplicate);
   }
-  SECTION("a dropped one once the host has answered what was written behind the drop") {
+  SECTION("the ref of a cancelled attempt: also after an answer to a request written after the cancel") {
     history.cancelled("a", Millis(10), 500);
     history.confirm_read(499);
     CHECK_FALSE(history.reusable("a", Millis(5000)));
@@ -38,7 +38,7 @@
     CHECK_FALSE(history.reusable("a", Millis(110)));
     CHECK(history.reusable("a", Millis(111)));
   }
-  SECTION("a late answer to a dropped one begins the duplicate window") {
+  SECTION("a late answer to a cancelled attempt starts the duplicate window") {
     history.cancelled("a", Millis(10), 500);
     CHECK(history.record_late_answer("a", Millis(300)) == LateAnswer::first);
     CHECK(history.record_late_answer("a", Millis(310)) == LateAnswer::duplicate);
@@ -46,7 +46,7 @@
     CHECK(history.reusable("a", Millis(401)));
     CHECK(history.record_late_answer("b", Millis(401)) == LateAnswer::unknown);
   }
-  SECTION("it is forgotten in the end, but not for an older use of the same ref") {
+  SECTION("a ref expires by its latest use, not by an earlier one") {
     history.cancelled("a", Millis(10), 500);
     history.reuse("a");
     history.cancelled("a", Millis(9000), 900);
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("a connection is checked when silent, ever later, and given up when a check is not answered") {
+TEST_CASE("a silent connection gets health checks with backoff, and ends if one is not answered") {
   hosts::Liveness liveness;
   liveness.connected(Millis(1000));
   liveness.sent(Millis(1000));
@@ -76,7 +76,7 @@
   CHECK(liveness.evaluate(Millis(1801), Millis(1000), 1) == Status::answer_incomplete);
 }
 
-TEST_CASE("the load budget holds by the time at which orders are written") {
+TEST_CASE("the load budget counts orders at the time at which they are written") {
   core::LoadBudget budget(Millis(1000), 1, 0.5);
   budget.note_call(Millis(0));
   budget.note_call(Millis(10));
@@ -88,8 +88,8 @@
   CHECK(core::LoadBudget(Millis(0), 0, 0).take(Millis(0)));
 }
 
-// Failure found in review: a further attempt at the same host never used the connection of the one before.
-TEST_CASE("a further attempt at a host that was full goes over the same connection") {
+// Guards against retries at the same host that never reuse the connection of the previous attempt.
+TEST_CASE("a retry at a host that was full uses the same connection") {
   hosts::Limits limits = World::limits();
   limits.duplicate_window = Millis(0);
   World world(1, settings(), limits);
@@ -106,7 +106,7 @@
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 1);
 }
 
-TEST_CASE("a further attempt after a dropped one shares its connection once the host has read the drop") {
+TEST_CASE("a retry after a cancelled attempt uses its connection once the host has read the cancel") {
   hosts::Limits limits = World::limits();
   limits.duplicate_window = Millis(0);
   World world(1, settings(), limits);
@@ -116,19 +116,19 @@
   world.fleet.send_attempt({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
   CHECK(world.fleet.cancel({1, 0}));
-  const bool drop_was_read = GENERATE(true, false);
-  if (drop_was_read) {
+  const bool cancel_was_read = GENERATE(true, false);
+  if (cancel_was_read) {
     world.fleet.send_attempt({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
     REQUIRE(world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 1; },
                              20000));
   }
   world.fleet.send_attempt({1, 1}, "h0", call_of("000000000000000a"), Millis(5000));
-  REQUIRE(world.turn_until([&] { return world.host[0]->execs == (drop_was_read ? 3 : 2); }, 20000));
-  CHECK(world.counters.value(core::Counter::hosts_links_opened) == (drop_was_read ? 1 : 2));
+  REQUIRE(world.turn_until([&] { return world.host[0]->execs == (cancel_was_read ? 3 : 2); }, 20000));
+  CHECK(world.counters.value(core::Counter::hosts_links_opened) == (cancel_was_read ? 1 : 2));
 }
 
-// Failure found in review: connections to a host's former process counted among those to its new one.
-TEST_CASE("the connections of a host's former process do not keep calls from its new one") {
+// Guards against connections to the former process of a host that count against the limit for the new one.
+TEST_CASE("connections to the former process of a host do not block calls to its new process") {
   hosts::Limits limits = World::limits();
   limits.max_connections_per_host = limits.max_calls_per_host = 1;
   World world(1, settings(), limits);
@@ -141,10 +141,10 @@
   CHECK(world.counters.value(core::Counter::hosts_no_link) == 0);
   world.fleet.send_attempt({3, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   CHECK(world.counters.value(core::Counter::hosts_no_link) ==
-        1);  // one to the new process is all that may be
+        1);  // the limit is one connection to the new process
 }
 
-TEST_CASE("a new host at the address of one that is gone is reached over a connection of its own") {
+TEST_CASE("a new host at the address of one that is gone is reached over a new connection") {
   World world(1);
   world.host[0]->react = [](const std::string& body) {
     return body == "000000000000000a" ? Reaction{Kind::silence, ""} : Reaction();
@@ -168,7 +168,7 @@
   REQUIRE(
       world.turn_until([&] { return world.counters.value(core::Counter::hosts_answers_data) == 2; }, 20000));
   CHECK(world.counters.value(core::Counter::hosts_links_opened) ==
-        3);  // nothing new goes over the one to the former host
+        3);  // the connection to the former host accepts nothing new
   update_member("h0", pathstack::policy::WorkerState::gone);
   update_member("h1", pathstack::policy::WorkerState::gone);
   update_member("h2", pathstack::policy::WorkerState::ready);
@@ -178,9 +178,9 @@
   CHECK(world.counters.value(core::Counter::hosts_links_opened) == 4);
 }
 
-// Failure found in review: an order was counted when it was decided, and written after calls had left the
-// window.
-TEST_CASE("a load order that waits for its connection is not written past the load budget") {
+// Guards against an order that is counted when it is decided and written after the calls that allow it have
+// left the window.
+TEST_CASE("a load order that was queued for its connection is not written beyond the load budget") {
   core::Settings s = settings();
   s.load_window = Millis(100);
   s.load_floor = 0;
@@ -195,7 +195,8 @@
   world.fleet.order_load("h0", 0xa1, 1);
   const bool window_passes = GENERATE(true, false);
   const Millis until = world.loop.now() + s.load_window + Millis(10);
-  while (window_passes && world.loop.now() < until) {}  // the connection is not up before the next turn
+  while (window_passes && world.loop.now() < until) {
+  }  // the connection is not established before the next turn
   REQUIRE(world.turn_until([&] { return front.statuses.size() == 1; }, 20000));
   CHECK(world.host[0]->orders == (window_passes ? 0 : 1));
   CHECK(world.counters.value(core::Counter::guard_load_stopped) == (window_passes ? 1 : 0));
--- a/tests/invoker/net_test.cpp
+++ b/tests/invoker/net_test.cpp
@@ -1,4 +1,4 @@
-// Buffers and what waits in them to be written.
+// Tests of output buffers and of timers of the event loop.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 namespace pathstack::test {
 namespace {
 
-TEST_CASE("what is queued arrives in order, through blocks that are given back to the pool") {
+TEST_CASE("queued bytes arrive in order, and their blocks are returned to the pool") {
   Random random(8);
   net::BufferPool pool(8);
   int ends[2];
@@ -45,7 +45,7 @@
   CHECK(pool.blocks_in_use() == 0);
 }
 
-TEST_CASE("the pool's bound holds, and a write past it is reported") {
+TEST_CASE("the pool does not exceed its limit, and an append beyond it fails") {
   net::BufferPool pool(2);
   {
     net::Outbox box(pool);
@@ -56,7 +56,7 @@
   CHECK(pool.blocks_in_use() == 0);
 }
 
-TEST_CASE("timers fire in their order; one that was cancelled does not fire") {
+TEST_CASE("timers fire in order, and a cancelled timer does not fire") {
   net::Loop loop;
   std::string fired;
   const Millis now = loop.now();
--- a/tests/invoker/support/random_host.h
+++ b/tests/invoker/support/random_host.h
@@ -1,4 +1,5 @@
-// A stand-in for a host that answers at random, late, or not at all, and records what it saw.
+/// A stand-in for a host that reacts at random (answers, late answers, silence, closes and resets) and
+/// records the attempts that it received.
 #pragma once
 
 #include <sys/socket.h>
@@ -17,6 +18,8 @@
 
 namespace pathstack::test {
 
+/// Records its attempts in a `CallBook`, at times of the given clock. `seed` determines the choice of
+/// reactions.
 class RandomHost {
  public:
   using Now = std::function<Moment()>;
@@ -36,7 +39,7 @@
     RandomHost& host_;
     int fd_;
     hosts::LineParser parser_;                 // requests have the form of answers, with the verb first
-    std::map<std::string, std::size_t> open_;  // by ref: the place among the attempts of its call
+    std::map<std::string, std::size_t> open_;  // by ref: index among the attempts of the call
     std::vector<net::Loop::TimerId> timers_;
 
     Peer(RandomHost& host, net::Loop& loop, net::BufferPool& pool, int fd, net::Socket socket)
@@ -53,7 +56,7 @@
       if (line.id == "health") write(line.word + " well - 0\r\n\r\n");
       if (line.id == "load") write(line.word + " well l=inflight:1;util:0.5 0\r\n\r\n");
       if (line.id == "ensure") write(line.word + " data count=1\r\n");
-      if (line.id == "drop") drop(line.word);
+      if (line.id == "drop") cancel(line.word);
       if (line.id == "exec") exec(line);
     }
     void exec(const hosts::Reply& line) {
@@ -65,18 +68,18 @@
       attempt.host = host_.number_;
       attempt.came = host_.now_();
       attempt.timeout = Millis(std::stod(net::field(*fields, "patience")));
-      const std::size_t place = found->second.attempts.size();
-      open_[line.word] = place;
+      const std::size_t index = found->second.attempts.size();
+      open_[line.word] = index;
       found->second.attempts.push_back(attempt);
-      react(line.word, place);
+      react(line.word, index);
     }
-    // An answer may have been on its way when the drop came.
-    void drop(const std::string& ref) {
+    // Half of the cancelled attempts are still answered, as an answer may cross with the cancel.
+    void cancel(const std::string& ref) {
       if (open_.count(ref) == 0) return;
       end_attempt(ref, {});
       if (below(host_.random_, 2) == 0) write_answer(ref, "data");
     }
-    void react(const std::string& ref, std::size_t place) {
+    void react(const std::string& ref, std::size_t index) {
       const std::size_t choice = below(host_.random_, 100);
       if (choice < 3) return end_later();
       if (choice < 6) return reset();
@@ -87,9 +90,9 @@
       if (choice < 27) word = "full";
       if (choice < 20) word = "absent";
       const Millis wait(static_cast<double>(below(host_.random_, below(host_.random_, 4) == 0 ? 200 : 12)));
-      timers_.push_back(loop().at(loop().now() + wait, [this, ref, place, word] {
+      timers_.push_back(loop().at(loop().now() + wait, [this, ref, index, word] {
         const auto found = open_.find(ref);
-        if (ending() || found == open_.end() || found->second != place) return;
+        if (ending() || found == open_.end() || found->second != index) return;
         write_answer(ref, word);
         end_attempt(ref, word);
       }));
--- a/tests/invoker/support/stand_in_host.h
+++ b/tests/invoker/support/stand_in_host.h
@@ -1,4 +1,4 @@
-// A stand-in for hosts, with answers that go wrong as the test sets them.
+/// A stand-in for worker hosts that injects the faults that a test selects.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,16 @@
 
 namespace pathstack::test {
 
-// What a stand-in host does with one exec. `stall`: half an answer, and then nothing more on that connection.
+/// How a stand-in host reacts to one `exec` request:
+/// - `reply`: answers with `word`;
+/// - `silence`: never answers;
+/// - `truncated`: sends half of an answer, then closes the connection;
+/// - `close`: closes the connection without an answer;
+/// - `stall`: sends half of an answer, then nothing more on the connection;
+/// - `duplicate`: sends the answer twice;
+/// - `unknown_ref`: sends an answer under a ref that was never used, then the right one;
+/// - `malformed`: sends a reply that cannot be decoded, then the answer;
+/// - `missing_length`: sends an answer that ends before its length.
 struct Reaction {
   enum Kind {
     reply,
@@ -28,6 +37,7 @@
   std::string word = "data";
 };
 
+/// Speaks the line protocol on a loopback address and counts the requests that it gets.
 class StandInHost {
  public:
   StandInHost(net::Loop& loop, net::BufferPool& pool, const std::string& address = "127.0.0.1:0")
@@ -41,7 +51,7 @@
 
    private:
     StandInHost& host_;
-    hosts::LineParser parser_;  // its requests have the form of its answers, with the verb first
+    hosts::LineParser parser_;  // requests have the form of answers, with the verb first
     void received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.take(bytes, lines));
@@ -52,10 +62,10 @@
   Server<Peer, StandInHost> server;
   std::function<Reaction(const std::string& body)> react = [](const std::string&) { return Reaction(); };
   std::map<std::string, int> runs;  // by body: execs that may have run
-  std::string last_fields;          // of the last exec, as they came
+  std::string last_fields;          // of the last exec, undecoded
   int execs = 0, cancels = 0, orders = 0;
-  bool ignores_health_checks = false;  // answers no health check, as if cut off
-  bool ignores_load_orders = false;    // orders to load come to no end
+  bool ignores_health_checks = false;  // as if the network to the host had failed
+  bool ignores_load_orders = false;    // counts load orders but does not answer them
 
  private:
   void take(Peer& peer, const hosts::Reply& line) {
