--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-// A value, or the reason why there is none.
+/// A return type that holds a value or an error.
 #pragma once
 
 #include <utility>
@@ -6,15 +6,15 @@
 
 namespace pathstack {
 
-/// What a function that may fail returns: its value, or a typed error. `Value` and `Error` must differ. To
-/// read the one that isn't there is a fault of the program; the variant throws std::bad_variant_access.
+/// The result of a function that may fail: a value or a typed error. `Value` and `Error` must be different
+/// types. Reading the alternative that is not held is a programming error and throws std::bad_variant_access.
 template <typename Value, typename Error>
 class Result {
  public:
   Result(Value value) : state_(std::in_place_index<0>, std::move(value)) {}
   Result(Error error) : state_(std::in_place_index<1>, std::move(error)) {}
 
-  /// True if there is a value.
+  /// True if the result holds a value.
   explicit operator bool() const { return state_.index() == 0; }
 
   Value& operator*() { return std::get<0>(state_); }
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -1,4 +1,4 @@
-/// One host as a list names it, whichever list that is: the membership log or an operator's xDS file.
+/// A host as a host list names it. The membership log and the operator's xDS file both deliver such lists.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace pathstack::core {
 
-/// A host and where it is reached.
+/// A host and its address.
 struct Member {
   WorkerEntry entry;
   std::string address;  // host:port
 };
 
-/// A list of hosts, or what has changed in it.
+/// A list of hosts, or changes of one.
 struct MemberList {
-  bool complete = false;  // else only what has changed
+  bool complete = false;  // false: only changes
   std::vector<Member> members;
 };
 
--- a/src/core/module.cpp
+++ b/src/core/module.cpp
@@ -37,9 +37,9 @@
 }
 pathstack::policy::Event event_of(const HostList& o) { return event::WorkerList{o.kind, o.entries}; }
 
-CallId call_id_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
+CallId call_id_of(const std::string& id) { return std::stoull(id); }  // safe: add_call created the id
 
-// The step that an action of the module stands for; nothing if it asks for none.
+// Converts an action of the module to a step; no value if the action needs none.
 std::optional<Step> step_of(const action::Send& a) { return SendStep{call_id_of(a.id), a.worker, a.timeout}; }
 std::optional<Step> step_of(const action::Refuse& a) { return RefuseStep{call_id_of(a.id), a.retry_after}; }
 std::optional<Step> step_of(const action::Fail& a) { return FailStep{call_id_of(a.id)}; }
@@ -47,9 +47,10 @@
 std::optional<Step> step_of(const action::Probe& a) { return ProbeStep{a.worker}; }
 std::optional<Step> step_of(const action::Load& a) { return LoadStep{a.worker, a.function, a.instances}; }
 std::optional<Step> step_of(const action::Unload& a) { return UnloadStep{a.worker, a.function}; }
-std::optional<Step> step_of(const action::SetTimer&) { return std::nullopt; }  // see Module::handle
+std::optional<Step> step_of(const action::SetTimer&) { return std::nullopt; }  // set in Module::handle
 std::optional<Step> step_of(const action::Log& a) { return LogStep{a.text}; }
-// Of no use to an invoker on sockets: it has no peers to speak to, and always watches.
+// An invoker process exchanges no messages with other invokers and always receives the list of hosts, so it
+// ignores these two actions.
 std::optional<Step> step_of(const action::SendPeerMessage&) { return std::nullopt; }
 std::optional<Step> step_of(const action::RequestList&) { return std::nullopt; }
 
@@ -77,7 +78,8 @@
 
 Steps Module::tick(Millis now) {
   Steps all;
-  // A timer that is set meanwhile waits for the next turn, or one of length zero would never end.
+  // Timers that are set during this call wait for the next one; otherwise a timer of zero length would loop
+  // forever.
   const std::uint64_t known = timers_set_;
   while (!timers_.empty() && timers_.top().at <= now && timers_.top().order < known) {
     const std::uint64_t token = timers_.top().token;
--- a/src/core/module.h
+++ b/src/core/module.h
@@ -1,5 +1,6 @@
-/// The decision module behind a facade in blocking style: each call says what happened and returns what to do
-/// now, requests queued until now included. The module's events and actions stay on this side.
+/// A facade of the decision module with a synchronous interface: each call reports what happened and returns
+/// the steps to carry out now, including those for requests queued earlier. The module's event and action
+/// types do not appear in the interface.
 #pragma once
 
 #include <map>
@@ -18,16 +19,16 @@
   std::string host;
   Millis timeout{0};  // 0: the time that the client has left
 };
-/// Answer a call as refused: a retry is harmless.
+/// Answer a call as refused: a retry is safe.
 struct RefuseStep {
   CallId call = 0;
-  Millis retry_after{0};  // 0: not said
+  Millis retry_after{0};  // 0: not stated
 };
 /// Answer a call as failed.
 struct FailStep {
   CallId call = 0;
 };
-/// Give an attempt up; the call stays open.
+/// Cancel an attempt; the call stays open.
 struct CancelStep {
   Attempt attempt;
 };
@@ -41,16 +42,16 @@
   std::uint64_t function = 0;
   int instances = 0;  // 0: only ask how many there are
 };
-/// Let a host unload a function.
+/// Allow a host to unload a function.
 struct UnloadStep {
   std::string host;
   std::uint64_t function = 0;
 };
-/// Tell the operator of an event.
+/// Write an event to the operator's log.
 struct LogStep {
   std::string text;
 };
-/// What the module decides.
+/// One decision of the module.
 using Step =
     std::variant<SendStep, RefuseStep, FailStep, CancelStep, ProbeStep, LoadStep, UnloadStep, LogStep>;
 using Steps = std::vector<Step>;
@@ -80,7 +81,7 @@
   Millis elapsed{0};
   Report report;
 };
-/// Nobody waits for a call any more.
+/// The client no longer waits for a call.
 struct CallAbandoned {
   CallId call = 0;
 };
@@ -89,40 +90,41 @@
   ListKind kind = ListKind::full;
   std::vector<WorkerEntry> entries;
 };
-/// Changes of the list of hosts that were not received may count as told from `until` on.
+/// The list of hosts is known to be current until `until`; after that, changes may exist that were not
+/// received.
 struct ListLease {
   Millis until{0};
-  Millis later_changes_from{0};  // those written after `until` do not before this
+  Millis later_changes_from{0};  // changes made after `until` count as published from this time on
 };
 /// A host has closed the last connection to it.
 struct HostConnectionsLost {
   std::string host;
 };
-/// What can be reported to the module.
+/// Anything that can be reported to the module.
 using ModuleInput = std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, CallAbandoned, HostList,
                                  ListLease, HostConnectionsLost>;
 
-/// The decision module and its timers. Owned by the dispatcher; knows no clock: every call states the time,
-/// which must not decrease. Cost of every call that returns steps: a decision of `policy::Policy`.
+/// The decision module and its timers. Owned by the dispatcher. Reads no clock: the caller passes the current
+/// time, which must not decrease. Each call that returns steps costs a decision of `policy::Policy`.
 class Module {
  public:
   Module(const Settings& settings, Millis now);
 
-  /// A new call.
+  /// Adds a new call.
   Steps add_call(Millis now, CallId id, const Call& call);
-  /// Something has happened.
+  /// Reports an event to the module.
   Steps report(Millis now, const ModuleInput& what);
-  /// All timers that are due by `now` have passed.
+  /// Fires all timers that are due at `now`.
   Steps tick(Millis now);
   /// When the next timer is due; infinite if none is set.
   Millis next_tick() const;
-  /// The module's figures for operators.
+  /// The module's statistics for operators.
   std::map<std::string, double> statistics() const { return policy_.statistics(); }
 
  private:
   struct Timer {
     Millis at{0};
-    std::uint64_t order = 0;  // in which timers were set
+    std::uint64_t order = 0;  // in which the timers were set
     std::uint64_t token = 0;
     bool operator>(const Timer& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,4 @@
-/// How an invoker embeds the decision module: hand in events, carry out actions.
+/// Example of how an invoker embeds the decision module: it passes in events and carries out the actions.
 #include <iostream>
 
 #include "pathstack/policy.h"
--- a/tests/invoker/open_call_test.cpp
+++ b/tests/invoker/open_call_test.cpp
@@ -1,4 +1,4 @@
-// The rules of a call's attempts, whatever the decision module says.
+/// Tests of the rules for a call's attempts, which hold whatever the decision module decides.
 #include "core/open_call.h"
 
 #include <catch2/catch.hpp>
@@ -51,7 +51,8 @@
   CHECK(repeatable.may_send(1, kMaxAttempts));
 }
 
-TEST_CASE_METHOD(OpenCallFixture, "only attempts that have left count against the most that are allowed") {
+TEST_CASE_METHOD(OpenCallFixture,
+                 "attempts that a local fault kept from being sent do not count against the limit") {
   run_attempt(once, Outcome::full);
   run_attempt(once, Outcome::not_sent);
   CHECK(once.may_send(2, kMaxAttempts));
@@ -59,7 +60,7 @@
   CHECK_FALSE(once.may_send(3, kMaxAttempts));
 }
 
-TEST_CASE_METHOD(OpenCallFixture, "the time that a client still waits counts from the call's arrival") {
+TEST_CASE_METHOD(OpenCallFixture, "the remaining time of a client is measured from the arrival of its call") {
   CHECK(once.time_left(Millis(1100)) == Millis(200));
   CHECK(once.time_left(Millis(1400)) == Millis(-100));
 }
