--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -58,7 +58,7 @@
 }
 
 // A worker that answers at once, and never serves, would else take all attempts of a request.
-bool RetryPolicy::may_try(const Request& request, WorkerIndex worker) const {
+bool RetryPolicy::allows_worker(const Request& request, WorkerIndex worker) const {
   if (!request.avoids(worker)) return true;
   const auto is_ready = [&](WorkerIndex index) { return workers_.is_ready(index); };
   const auto avoided = std::count_if(request.avoided.begin(), request.avoided.end(), is_ready);
@@ -72,7 +72,7 @@
   if (!settings_.hedged_attempts && request.has_attempt_out()) return false;
   if (!outliers_.is_usable(worker, now)) return false;
   if (!outliers_.serves_class(worker, request.class_index, now)) return false;
-  if (!may_try(request, worker)) return false;
+  if (!allows_worker(request, worker)) return false;
   if (!may_repeat(request, &workers_[worker], now)) return false;
   return slow_start_.has_budget(worker, times_.work(request.class_index), now);
 }
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -21,7 +21,7 @@
 /// key only within the key's window and scope. Attempts that a fault of this machine kept from leaving count
 /// for nothing.
 ///
-/// Owned by Policy. may_try and may_send are O(attempts of the request), the latter more for a worker that is
+/// Owned by Policy. allows_worker and may_send are O(attempts of the request), the latter more for a worker that is
 /// warming up; retry is O(workers x attempts).
 class RetryPolicy {
  public:
@@ -34,7 +34,7 @@
   /// refused.
   bool may_repeat(const Request& request, const Worker* worker, Millis now) const;
   /// False if the request avoids the worker, and another one is ready that it does not avoid.
-  bool may_try(const Request& request, WorkerIndex worker) const;
+  bool allows_worker(const Request& request, WorkerIndex worker) const;
   /// Whether an attempt may go to the worker now. Has_room is a condition of its own.
   bool may_send(const Request& request, WorkerIndex worker, Millis now);
 
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -28,7 +28,7 @@
 
 bool WorkerSelector::may_use(const Function& function, const Request& request, WorkerIndex worker,
                              Millis now) const {
-  if (!retries_.may_try(request, worker) || !outliers_.is_usable(worker, now)) return false;
+  if (!retries_.allows_worker(request, worker) || !outliers_.is_usable(worker, now)) return false;
   if (!outliers_.serves_class(worker, function.times.class_index, now)) return false;
   if (!admission_.is_worth_sending(request, worker, now)) return false;
   return !limits_.is_full(worker, now) && !limits_.is_backing_off(worker, now);
@@ -91,7 +91,7 @@
 bool WorkerSelector::is_load_candidate(Function& function, const Request& next, WorkerIndex worker,
                                        Millis now) {
   if (!may_load(worker, now) || !limits_.has_room(worker, now)) return false;
-  if (!retries_.may_try(next, worker)) return false;
+  if (!retries_.allows_worker(next, worker)) return false;
   const Instance* instance = function.find_instance(worker);
   const bool has_instance =
       instance != nullptr && (functions_.is_warm(*instance, now) || instance->loading > 0);
