--- a/tests/policy/lease_renewal_test.cpp
+++ b/tests/policy/lease_renewal_test.cpp
@@ -57,7 +57,7 @@
   CHECK(static_cast<double>(fleet.used.size()) <=
         rate * 0.25);  // no more workers than the calls keep confirmed
   CHECK(fleet.invoker().policy.statistics()["lease.renewed"] > 0);
-  CHECK_FALSE(fleet.invoker().broken);
+  CHECK_FALSE(fleet.invoker().final_answer_violated);
 }
 
 TEST_CASE("LeaseRenewal: a kept worker that drains is found out by what it turns away", "[lease-renewal]") {
@@ -95,11 +95,11 @@
   SimulatedFleet fleet(s, 3, 20);
   fleet.play(5000);
   auto& invoker = fleet.invoker();
-  invoker.give(event::ListLease{invoker.now, invoker.now + Millis(1750)});
+  invoker.handle(event::ListLease{invoker.now, invoker.now + Millis(1750)});
   fleet.play(500);
   const int served = fleet.served;
-  invoker.pass(1000);  // no call comes
-  fleet.play(500);     // 2000 ms after the break: within the grace
+  invoker.advance(1000);  // no call comes
+  fleet.play(500);        // 2000 ms after the break: within the grace
   CHECK(fleet.served > served);
 }
 
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -45,7 +45,7 @@
   parts.reports.record_gossip(received, 5, parts.now);
   parts.reports.exchange(parts.now);
   parts.reports.exchange(parts.now + Millis(2000));
-  const auto messages = parts.emitted_of<action::SendPeerMessage>();
+  const auto messages = parts.emitted_actions<action::SendPeerMessage>();
   REQUIRE(messages.size() == 1U);
   const auto records = parse_gossip(messages[0].text);
   REQUIRE(records.size() == 2U);
--- a/tests/policy/membership_lease_test.cpp
+++ b/tests/policy/membership_lease_test.cpp
@@ -29,20 +29,20 @@
     invoker.list({entry("a"), entry("b")});
     invoker.request("r1");
     for (const char* const worker : {"a", "b"}) invoker.loaded(worker, 1, 1);
-    invoker.pass(50);
+    invoker.advance(50);
     while (!invoker.sends.empty()) {
       const auto send = invoker.sends.back();
       invoker.sends.pop_back();
       invoker.answer(send, Outcome::ok);
     }
-    invoker.pass(3000);
-    invoker.give(event::ListLease{invoker.now - Millis(2000)});
+    invoker.advance(3000);
+    invoker.handle(event::ListLease{invoker.now - Millis(2000)});
     invoker.sends.clear();
     invoker.loads.clear();
     invoker.probes.clear();
   }
   void probed(const std::string& worker, Outcome outcome, double elapsed = 1) {
-    invoker.give(event::ProbeEnded{worker, outcome, Millis(elapsed), std::nullopt});
+    invoker.handle(event::ProbeEnded{worker, outcome, Millis(elapsed), std::nullopt});
   }
 
   Invoker invoker;
@@ -71,20 +71,20 @@
     CHECK(invoker.sends[0].worker == invoker.probes[1]);
   }
   SECTION("one that says nothing is passed over") {
-    invoker.pass(140);
+    invoker.advance(140);
     REQUIRE(invoker.probes.size() == 2);
     CHECK(invoker.probes[1] != invoker.probes[0]);
   }
   SECTION("a fault of this machine is no word of the worker") {
     probed(invoker.probes[0], Outcome::not_sent);
     probed(invoker.probes[1], Outcome::not_sent);
-    invoker.pass(100);
+    invoker.advance(100);
     REQUIRE(invoker.probes.size() >= 3);
     probed(invoker.probes[2], Outcome::ok);
     CHECK(invoker.sends.size() == 1);
   }
   SECTION("a list that is current again needs no answer") {
-    invoker.give(event::ListLease{invoker.now + Millis(4000)});
+    invoker.handle(event::ListLease{invoker.now + Millis(4000)});
     CHECK(invoker.sends.size() == 1);
   }
 }
@@ -97,7 +97,7 @@
   probed(invoker.probes[0], Outcome::ok, 500);  // of the grace of 1000 ms, 800 count
   REQUIRE(invoker.sends.size() == 1);
   invoker.answer(invoker.sends[0], Outcome::ok, 10);
-  invoker.pass(50);
+  invoker.advance(50);
   invoker.request("r3");
   CHECK(invoker.sends.size() == 2);
   CHECK(invoker.probes.size() == 1);
@@ -109,12 +109,12 @@
   invoker.list({entry("b", WorkerState::gone)}, ListKind::delta);
   invoker.request("r2");
   probed(invoker.probes.at(0), Outcome::ok);
-  invoker.pass(550);
+  invoker.advance(550);
   invoker.answer(invoker.sends.at(0), Outcome::ok, 550);
   invoker.request("r3");
   CHECK(invoker.sends.size() == 2);
   CHECK(invoker.probes.size() == 1);
-  invoker.pass(300);
+  invoker.advance(300);
   invoker.request("r4", 1, "safe", 4000, 4);
   CHECK(invoker.sends.size() == 2);
   CHECK(invoker.probes.size() == 2);
@@ -131,7 +131,7 @@
     return std::count_if(invoker.sends.begin(), invoker.sends.end(),
                          [&](const action::Send& send) { return send.worker == worker; });
   };
-  invoker.pass(300);
+  invoker.advance(300);
   CHECK(sent_there() == 1);
 }
 
@@ -154,13 +154,13 @@
   REQUIRE(invoker.probes.size() == 1);
   SECTION("it was not well before") {
     probed("a", Outcome::error);
-    invoker.pass(1100);
+    invoker.advance(1100);
     invoker.request("r3");
     REQUIRE(invoker.probes.size() == 2);
     probed("a", Outcome::ok);
   }
   SECTION("it had closed all connections") {
-    invoker.give(event::ConnectionsLost{"a"});
+    invoker.handle(event::ConnectionsLost{"a"});
     probed("a", Outcome::ok);
   }
   CHECK(invoker.sends.empty());  // the instance went with the process
@@ -178,10 +178,10 @@
   invoker.list({entry("a")});
   invoker.request("r1");
   invoker.loaded("a", 1, 1);
-  invoker.pass(20);
+  invoker.advance(20);
   REQUIRE(invoker.sends.size() == 1);
   invoker.answer(invoker.sends[0], Outcome::ok, 20);
-  invoker.give(event::ConnectionsLost{"a"});
+  invoker.handle(event::ConnectionsLost{"a"});
   invoker.request("r2");
   CHECK(invoker.sends.size() == 2);
 }
@@ -193,29 +193,29 @@
   invoker.list({entry("a")});
   invoker.request("r1");
   invoker.loaded("a", 1, 1);
-  invoker.pass(20);
+  invoker.advance(20);
   REQUIRE(invoker.sends.size() == 1);
-  invoker.give(event::ListLease{invoker.now - Millis(2000)});
-  invoker.pass(100);
+  invoker.handle(event::ListLease{invoker.now - Millis(2000)});
+  invoker.advance(100);
   invoker.answer(invoker.sends[0], Outcome::ok, 100);
   invoker.request("r2");
   CHECK(invoker.sends.size() == 2);  // accepted 120 ms ago
-  invoker.pass(1500);
+  invoker.advance(1500);
   invoker.answer(invoker.sends[1], Outcome::ok, 1500);
   invoker.request("r3");
   CHECK(invoker.sends.size() == 2);
   CHECK(invoker.probes.empty());
-  invoker.pass(1200);
+  invoker.advance(1200);
   CHECK(invoker.refused == std::vector<std::string>{"r3"});  // at its objective, not at its deadline
 }
 
 TEST_CASE("MembershipLease: while the list is current nobody is asked", "[membership-lease]") {
   Invoker invoker(settings_with_probes());
   invoker.list({entry("a")});
-  invoker.give(event::ListLease{invoker.now + Millis(4000)});
+  invoker.handle(event::ListLease{invoker.now + Millis(4000)});
   invoker.request("r1");
   invoker.loaded("a", 1, 1);
-  invoker.pass(20);
+  invoker.advance(20);
   CHECK(invoker.sends.size() == 1);
   CHECK(invoker.probes.empty());
 }
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -97,7 +97,7 @@
   end(send(), Outcome::ok, 100);
   const Request& lost = send();
   recorder.find_unanswered(parts.now + Millis(601));
-  const auto cancels = parts.emitted_of<action::Cancel>();
+  const auto cancels = parts.emitted_actions<action::Cancel>();
   REQUIRE(cancels.size() == 1U);
   CHECK(cancels[0].id == lost.id);
 }
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -69,7 +69,7 @@
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.connection_failed(worker, true, parts.now);
   parts.outliers.connection_failed(worker, true, parts.now);
-  CHECK(parts.emitted_of<action::Probe>().size() == 1U);
+  CHECK(parts.emitted_actions<action::Probe>().size() == 1U);
   CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   parts.outliers.probe_answered(worker);
   CHECK(parts.outliers.is_usable(worker, parts.now));
@@ -89,7 +89,7 @@
   }
   CHECK(parts.outliers.is_down(worker));
   CHECK(instance.loaded == 0);
-  CHECK(parts.emitted_of<action::Probe>().size() == 3U);
+  CHECK(parts.emitted_actions<action::Probe>().size() == 3U);
   UNSCOPED_INFO("it is back, as another process");
   CHECK(parts.outliers.note_alive(worker, parts.now));
   CHECK_FALSE(parts.outliers.note_alive(worker, parts.now));
@@ -103,7 +103,7 @@
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.connection_failed(worker, true, parts.now);
   parts.outliers.connection_failed(worker, true, parts.now);
-  CHECK(parts.emitted_of<action::SendPeerMessage>().size() == 1U);
+  CHECK(parts.emitted_actions<action::SendPeerMessage>().size() == 1U);
 }
 
 TEST_CASE("OutlierDetector: a peer's word does not outweigh an answer of a moment ago",
--- a/tests/policy/parts.h
+++ b/tests/policy/parts.h
@@ -56,7 +56,7 @@
   }
 
   template <typename AnyAction>
-  std::vector<AnyAction> emitted_of() const {
+  std::vector<AnyAction> emitted_actions() const {
     std::vector<AnyAction> found;
     for (const Action& action : emitted) {
       if (const auto* one = std::get_if<AnyAction>(&action)) found.push_back(*one);
--- a/tests/policy/policy_clock_test.cpp
+++ b/tests/policy/policy_clock_test.cpp
@@ -44,12 +44,12 @@
         const action::Load order = r.loads[ordered];
         r.loaded(order.worker, order.function, order.instances);
       }
-      r.pass(50);
+      r.advance(50);
       for (; answered < r.sends.size(); ++answered)
         r.answer(action::Send(r.sends[answered]), Outcome::ok, 80);
     }
   }
-  CHECK_FALSE(r.broken);
+  CHECK_FALSE(r.final_answer_violated);
   std::string actions;
   for (const auto& send : r.sends) actions += send.id + '>' + send.worker + ' ';
   for (const auto& load : r.loads) actions += std::to_string(load.function) + '@' + load.worker + ' ';
@@ -75,7 +75,7 @@
     const std::size_t sent = r.sends.size();
     r.request(stem + std::to_string(i));
     if (r.sends.size() > sent) r.answer(action::Send(r.sends.back()), Outcome::ok);
-    r.pass(100);
+    r.advance(100);
   }
   return r.sends.size() - before;
 }
@@ -96,7 +96,7 @@
   s.rejects_on_miss = true;
   Invoker r(s);
   r.list({entry("a", WorkerState::ready, 3600e3)});
-  r.pass(s.slow_start_duration.count());
+  r.advance(s.slow_start_duration.count());
   CHECK(sent_within(r, 3, "x") >= 28U);
 }
 
--- a/tests/policy/policy_harness.h
+++ b/tests/policy/policy_harness.h
@@ -56,25 +56,25 @@
 /// Plays events into one Policy and keeps the actions that came out, by kind.
 class Invoker {
  public:
-  explicit Invoker(Settings s = settings()) { give(event::Start{std::move(s)}); }
+  explicit Invoker(Settings s = settings()) { handle(event::Start{std::move(s)}); }
 
-  void give(const Event& e) {
+  void handle(const Event& e) {
     std::vector<Action> out;
     policy.handle(now, e, out);
     for (auto& a : out) {
       if (const auto* send = std::get_if<action::Send>(&a)) {
         sends.push_back(*send);
         attempts[send->id]++;
-        broken = broken || answered.count(send->id) > 0;
+        final_answer_violated = final_answer_violated || answered.count(send->id) > 0;
       } else if (const auto* load = std::get_if<action::Load>(&a)) {
         if (load->instances > 0) loads.push_back(*load);
       } else if (const auto* refuse = std::get_if<action::Refuse>(&a)) {
         refused.push_back(refuse->id);
         retry_after.push_back(refuse->retry_after);
-        broken = !answered.insert(refuse->id).second || broken;
+        final_answer_violated = !answered.insert(refuse->id).second || final_answer_violated;
       } else if (const auto* fail = std::get_if<action::Fail>(&a)) {
         failed.push_back(fail->id);
-        broken = !answered.insert(fail->id).second || broken;
+        final_answer_violated = !answered.insert(fail->id).second || final_answer_violated;
       } else if (const auto* timer = std::get_if<action::SetTimer>(&a)) {
         timers.emplace((now + timer->after).count(), timer->token);
       } else if (const auto* cancel = std::get_if<action::Cancel>(&a)) {
@@ -85,7 +85,7 @@
     }
   }
   void list(std::vector<WorkerEntry> entries, ListKind kind = ListKind::full) {
-    give(event::WorkerList{kind, std::move(entries)});
+    handle(event::WorkerList{kind, std::move(entries)});
   }
   void request(const std::string& id, std::uint64_t function = 1, const std::string& cls = "safe",
                double expires = 4000, int slots = 2) {
@@ -97,7 +97,7 @@
     r.concurrency = slots;
     r.load_hint = Millis(1000);
     r.expires_in = Millis(expires);
-    give(r);
+    handle(r);
   }
   void answer(const action::Send& send, Outcome outcome, double elapsed = 100, Warmth warmth = Warmth::warm) {
     event::AttemptEnded a;
@@ -109,20 +109,20 @@
     a.request_finished = outcome == Outcome::ok;
     if (a.request_finished) answered.insert(send.id);
     a.elapsed = Millis(elapsed);
-    give(a);
+    handle(a);
   }
   void loaded(const std::string& worker, std::uint64_t function, int instances,
               Outcome outcome = Outcome::ok) {
-    give(event::LoadEnded{worker, function, outcome, Millis(500), instances});
+    handle(event::LoadEnded{worker, function, outcome, Millis(500), instances});
   }
   /// Lets time pass and gives each timer when it is due.
-  void pass(double ms) {
+  void advance(double ms) {
     const double until = now.count() + ms;
     while (!timers.empty() && timers.begin()->first <= until) {
       const auto [at, token] = *timers.begin();
       timers.erase(timers.begin());
       now = std::max(now, Millis(at));
-      give(event::Timer{token});
+      handle(event::Timer{token});
     }
     now = Millis(until);
   }
@@ -130,7 +130,7 @@
   Policy policy;
   Millis now{1000};
   double memory_mb = 500;
-  bool broken = false;  // a request was answered twice, or sent after its answer
+  bool final_answer_violated = false;  // a request was answered twice, or sent after its answer
   std::vector<action::Send> sends;
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
--- a/tests/policy/policy_local_fault_test.cpp
+++ b/tests/policy/policy_local_fault_test.cpp
@@ -45,7 +45,7 @@
   r.request("x");
   r.answer(action::Send(r.sends.back()), Outcome::not_sent);
   CHECK(r.sends.size() == 2U);
-  r.pass(100);
+  r.advance(100);
   REQUIRE(r.sends.size() == 3U);
   CHECK(r.sends[2].id == "x");
 }
@@ -63,7 +63,7 @@
   for (int i = 0; i < 20; ++i) {
     r.request("x" + std::to_string(i), 1, "unsafe");
     r.answer(action::Send(r.sends.back()), Outcome::not_sent, 0);
-    r.pass(100);
+    r.advance(100);
     REQUIRE(r.sends.back().id == "x" + std::to_string(i));
     r.answer(action::Send(r.sends.back()), Outcome::ok);
   }
@@ -84,7 +84,7 @@
   r.request("out");
   r.request("x");
   std::size_t seen = 2;
-  for (; r.now < Millis(1640); r.pass(20)) {  // 600 ms, six runs, count as silence
+  for (; r.now < Millis(1640); r.advance(20)) {  // 600 ms, six runs, count as silence
     for (; seen < r.sends.size(); ++seen) r.answer(action::Send(r.sends[seen]), Outcome::not_sent);
   }
   CHECK(seen >= 10U);
@@ -98,13 +98,13 @@
     int ok = 0;
     for (std::size_t i = 0, seen = 0; i < 100; ++i) {
       r.request("x" + std::to_string(i), 1, "unsafe", 900);
-      r.pass(50);
+      r.advance(50);
       for (; seen < r.sends.size(); ++seen) {
         const bool fault = faults-- > 0;
         ok += !fault;
         r.answer(action::Send(r.sends[seen]), fault ? Outcome::not_sent : Outcome::ok);
       }
-      r.pass(50);
+      r.advance(50);
     }
     return ok;
   };
@@ -121,7 +121,7 @@
     for (int i = 0; i < 40; ++i) workers.push_back(entry("w" + std::to_string(i)));
     r.list(workers);
     for (int i = 0; i < kRequests; ++i) r.request("x" + std::to_string(i), static_cast<std::uint64_t>(i));
-    for (std::size_t answered = 0; r.now < Millis(3000); r.pass(5)) {
+    for (std::size_t answered = 0; r.now < Millis(3000); r.advance(5)) {
       // Faults that come in the same moment as what they answer must end by themselves.
       for (; answered < r.sends.size() && answered < 100000; ++answered) {
         r.answer(action::Send(r.sends[answered]), Outcome::not_sent, 0);
@@ -131,7 +131,7 @@
     CHECK(r.sends.size() <= kRequests * 3U * 26U);
     CHECK(r.sends.size() >= kRequests * 10U);
     CHECK(r.refused.size() == static_cast<std::size_t>(kRequests));
-    CHECK_FALSE(r.broken);
+    CHECK_FALSE(r.final_answer_violated);
   }
 }
 
@@ -148,7 +148,7 @@
     r.loaded("a", 1, 0, Outcome::not_sent);
     UNSCOPED_INFO("none at once");
     REQUIRE(r.loads.size() == i);
-    r.pass(80);
+    r.advance(80);
     REQUIRE(r.loads.size() == i + 1);
   }
   r.loaded("a", 1, 1);
@@ -163,7 +163,7 @@
   REQUIRE(r.sends.size() == 1U);
   r.answer(action::Send(r.sends[0]), Outcome::ok);
   r.loaded("a", 1, 0, Outcome::not_sent);
-  r.pass(100);
+  r.advance(100);
   r.request("y", 1, "safe", 4000, 1);
   UNSCOPED_INFO("the instance still stands");
   CHECK(r.sends.size() == 2U);
@@ -181,17 +181,17 @@
     REQUIRE(r.probes.size() == 1U);
     for (int i = 0; i < 10; ++i) {
       const std::size_t asked = r.probes.size();
-      r.give(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
+      r.handle(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
       UNSCOPED_INFO("none at once");
       CHECK(r.probes.size() == asked);
-      r.pass(80);
+      r.advance(80);
       REQUIRE(r.probes.size() == asked + 1);
       UNSCOPED_INFO("nothing goes to a suspect worker");
       CHECK(r.sends.size() == 2U);
     }
     // Three probes that have left are needed to mark it down, one that is answered to clear it.
-    r.give(event::ProbeEnded{"a", then, Millis(1), std::nullopt});
-    r.pass(40);
+    r.handle(event::ProbeEnded{"a", then, Millis(1), std::nullopt});
+    r.advance(40);
     const bool clear = then == Outcome::ok;
     CHECK(r.sends.size() == (clear ? 3U : 2U));
     CHECK(r.probes.size() == (clear ? 11U : 12U));
@@ -204,9 +204,9 @@
   Invoker r(s);
   r.list({entry("a")});
   warm_up(r);
-  r.pass(2000);  // it has not answered for so long that a failed probe would count as a loss
-  r.give(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
-  r.pass(100);
+  r.advance(2000);  // it has not answered for so long that a failed probe would count as a loss
+  r.handle(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
+  r.advance(100);
   CHECK(r.probes.empty());
   for (int i = 0; i < 10; ++i) {
     r.request("x" + std::to_string(i));
@@ -227,10 +227,10 @@
     CHECK(r.probes == std::vector<std::string>{"a"});
     const bool once = std::string(cls) == "unsafe";
     CHECK(r.failed.size() == (once ? 1U : 0U));
-    r.pass(50);
+    r.advance(50);
     CHECK(r.sends.size() == 2U);
-    r.give(event::ProbeEnded{"a", Outcome::ok, Millis(1), std::nullopt});
-    r.pass(50);
+    r.handle(event::ProbeEnded{"a", Outcome::ok, Millis(1), std::nullopt});
+    r.advance(50);
     CHECK(r.sends.size() == (once ? 2U : 3U));
   }
 }
@@ -244,12 +244,12 @@
     Invoker r(s);
     r.list({entry("a")});
     warm_up(r);
-    r.pass(2000);
+    r.advance(2000);
     warm_up(r, "second");
     r.request("x", 1, "unsafe");
     r.answer(action::Send(r.sends.back()), outcome);
-    if (probes) { r.give(event::ProbeEnded{"a", Outcome::ok, Millis(1), std::nullopt}); }
-    r.pass(1500);
+    if (probes) { r.handle(event::ProbeEnded{"a", Outcome::ok, Millis(1), std::nullopt}); }
+    r.advance(1500);
     int sent = 0;
     for (int i = 0; i < 30; ++i) {
       const std::size_t before = r.sends.size();
@@ -258,7 +258,7 @@
         ++sent;
         r.answer(action::Send(r.sends.back()), Outcome::ok);
       }
-      r.pass(100);
+      r.advance(100);
     }
     return sent;
   };
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -63,10 +63,10 @@
     REQUIRE(r.loads.size() == 1U);
     if (full) r.list({});
     if (!full) r.list({entry("a", WorkerState::gone)}, ListKind::delta);
-    r.pass(1100);  // the latency objective is 1000
+    r.advance(1100);  // the latency objective is 1000
     UNSCOPED_INFO((full ? "full" : "delta"));
     CHECK(r.refused == std::vector<std::string>{"x"});
-    CHECK_FALSE(r.broken);
+    CHECK_FALSE(r.final_answer_violated);
   }
 }
 
@@ -82,7 +82,7 @@
     r.list({entry("a", WorkerState::ready, 990)});
     for (int i = 0; i < 20; ++i) {
       r.request(id("x", i), 1, "safe", 450);
-      r.pass(500);
+      r.advance(500);
     }
     calls += static_cast<double>(r.sends.size());
   }
@@ -112,11 +112,11 @@
         r.answer(action::Send(r.sends[seen]), Outcome::ok, 80);
       }
       for (; probed < r.probes.size(); ++probed) {
-        r.give(event::ProbeEnded{r.probes[probed], Outcome::ok, Millis(1), std::vector<double>{use}});
+        r.handle(event::ProbeEnded{r.probes[probed], Outcome::ok, Millis(1), std::vector<double>{use}});
       }
-      r.pass(2);
+      r.advance(2);
     }
-    CHECK_FALSE(r.broken);
+    CHECK_FALSE(r.final_answer_violated);
     probes = r.probes.size();
     return sent;
   };
@@ -158,17 +158,17 @@
     for (int i = 0; i < 50; ++i) {
       if (!invoker.sends.empty()) invoker.answer(invoker.sends.back(), Outcome::ok);
       invoker.request(id("before", i));
-      invoker.pass(100);
+      invoker.advance(100);
     }
     invoker.answer(invoker.sends.back(), Outcome::ok);
-    invoker.pass(3000);
-    if (reported) invoker.give(event::PeerMessage{1, report});
-    invoker.pass(4000);
-    invoker.give(event::ProbeEnded{"a", Outcome::ok, Millis(1), {}});
+    invoker.advance(3000);
+    if (reported) invoker.handle(event::PeerMessage{1, report});
+    invoker.advance(4000);
+    invoker.handle(event::ProbeEnded{"a", Outcome::ok, Millis(1), {}});
     const auto before = invoker.sends.size();
     for (int i = 0; i < 10; ++i) {
       invoker.request(id("after", i));
-      invoker.pass(100);
+      invoker.advance(100);
       if (invoker.sends.size() > before) invoker.answer(invoker.sends.back(), Outcome::ok);
     }
     return invoker.sends.size() - before;
@@ -214,7 +214,7 @@
   Invoker r(s);
   r.list({});
   r.request("x");
-  r.pass(4000);
+  r.advance(4000);
   REQUIRE(r.retry_after.size() == 1U);
   CHECK(r.retry_after[0].count() == 0);
 }
@@ -223,9 +223,9 @@
   Invoker r;
   r.list({});  // nothing can serve it
   r.request("x");
-  r.pass(900);
+  r.advance(900);
   CHECK(r.refused.empty());
-  r.pass(150);
+  r.advance(150);
   CHECK(r.refused.size() == 1U);
 }
 
@@ -235,7 +235,7 @@
   r.list({});
   r.request("first", 1, "safe", 4000);
   r.request("later", 2, "safe", 2900);  // 1100 ms after its first attempt, past the objective of 1000 ms
-  r.pass(30);
+  r.advance(30);
   CHECK(r.refused == std::vector<std::string>{"later"});
 }
 
@@ -248,9 +248,9 @@
   r.request("later", 8, "safe", 2980);
   r.request("last", 9, "safe", 700);
   r.request("new", 10, "safe", 1900);
-  r.pass(100);
+  r.advance(100);
   CHECK(r.refused == (std::vector<std::string>{"later", "last"}));
-  r.pass(1000);
+  r.advance(1000);
   CHECK(r.refused.size() == 7U);
 }
 
@@ -268,7 +268,7 @@
       const auto send = r.sends[seen++];
       r.answer(send, Outcome::full);
     }
-    r.pass(20);
+    r.advance(20);
   }
   CHECK(used.size() >= 2U);
   CHECK(used.size() <= 10U);
@@ -287,7 +287,7 @@
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0 && peer_calls > 0) {
         const auto level = static_cast<char>('0' + std::lround(4 * std::log2(peer_calls)));
-        r.give(event::PeerMessage{1, std::string("!!!") + level});
+        r.handle(event::PeerMessage{1, std::string("!!!") + level});
       }
       r.request(id("x", i));
       while (seen < r.sends.size()) {
@@ -295,7 +295,7 @@
         const auto send = r.sends[seen++];
         r.answer(send, i < 200 ? Outcome::ok : Outcome::full);  // then all are full
       }
-      r.pass(20);
+      r.advance(20);
     }
     return workers.size();
   };
@@ -315,7 +315,7 @@
     last = r.sends.size();
     if (r.sends.back().worker == bad) r.answer(r.sends.back(), Outcome::error);
     if (!r.loads.empty()) r.loaded(r.loads.back().worker, 1, 1);
-    r.pass(40);
+    r.advance(40);
   }
   CHECK(r.sends.size() >= last);
   CHECK(r.sends.back().worker != bad);
@@ -335,7 +335,7 @@
     r.answer(r.sends.back(), Outcome::ok, 1600, Warmth::unknown);
     r.request(id("then", i), static_cast<std::uint64_t>(i + 1));
     r.answer(r.sends.back(), Outcome::ok, 100, Warmth::unknown);
-    r.pass(50);
+    r.advance(50);
   }
   const auto tally = r.policy.statistics();
   CHECK_THAT(tally.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
@@ -356,7 +356,7 @@
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("x", 7);
   REQUIRE(r.sends.size() == 1U);
-  r.pass(1400);  // a load takes so long
+  r.advance(1400);  // a load takes so long
   CHECK(r.cancels.empty());
   CHECK(r.sends.size() == 1U);
   CHECK((r.policy.statistics().count("now.unusable") == 0 ? 0 : r.policy.statistics().at("now.unusable")) ==
@@ -365,7 +365,7 @@
   // One that answers nothing, not even where the instance is known to be warm, is left out as before.
   r.request("y", 7);
   REQUIRE(r.sends.size() == 2U);
-  r.pass(1000);
+  r.advance(1000);
   CHECK(r.cancels.size() == 1U);
 }
 
@@ -387,20 +387,20 @@
   REQUIRE(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::error, 5);
   CHECK(r.failed.size() == 1U);
-  r.pass(3000);
+  r.advance(3000);
   r.request("b", at_bad[1], "unsafe");
   CHECK(r.sends.back().worker != bad);
   r.request("c", at_bad[2], "safe");  // the other class may do well there
   CHECK(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::ok, 50);
-  r.pass(2000);
+  r.advance(2000);
   r.request("d", at_bad[3], "unsafe");  // and a worker is tried again
   CHECK(r.sends.back().worker == bad);
   // An error that took as long as a load may be a load that failed: that excludes nobody.
   r.request("e", 5000, "keyed");
   const std::string slow = r.sends.back().worker;
   r.answer(r.sends.back(), Outcome::error, 1200);
-  r.pass(100);
+  r.advance(100);
   r.request("f", 5000, "keyed");
   CHECK(r.sends.back().worker == slow);
 }
@@ -441,7 +441,7 @@
         sent += r.sends[seen].worker == worker;
         r.answer(action::Send(r.sends[seen]), Outcome::ok, 80);
       }
-      r.pass(10);
+      r.advance(10);
     }
     return sent;
   };
@@ -466,23 +466,23 @@
       const std::string before = "w" + std::to_string(day - 1);
       r.list({entry(before, WorkerState::gone)}, ListKind::delta);
       // What is still said of those that went changes nothing.
-      r.give(
+      r.handle(
           event::ProbeEnded{"w" + std::to_string(day - 2), Outcome::connect_failed, Millis(1), std::nullopt});
       r.loaded("w" + std::to_string(day - 2), 1, 3);
     }
-    r.pass(20000);
+    r.advance(20000);
     const auto sent = r.sends.size();
     const std::string call = "c" + std::to_string(day);
     r.request(call, 1, "safe", 8000);
     for (int i = 0; i < 100 && r.answered.count(call) == 0; ++i) {
       if (r.sends.size() > sent && r.sends.back().id == call) r.answer(r.sends.back(), Outcome::ok);
-      r.pass(20);
+      r.advance(20);
     }
     REQUIRE(r.sends.size() > sent);
     CHECK(r.sends.back().worker == id);
-    r.pass(45000);
+    r.advance(45000);
   }
-  CHECK_FALSE(r.broken);
+  CHECK_FALSE(r.final_answer_violated);
 }
 
 TEST_CASE("outlier: a function that no worker knows excludes none", "[policy][outlier]") {
@@ -514,16 +514,16 @@
     CHECK(r.sends.size() == 3U);  // nothing goes there until the probe is answered
     // A probe may meet a further connection that breaks: one says no more than the other.
     for (const Outcome o : {Outcome::reset, Outcome::connect_failed, runs ? Outcome::ok : Outcome::reset}) {
-      r.give(event::ProbeEnded{"w1", o, Millis(2), std::nullopt});
+      r.handle(event::ProbeEnded{"w1", o, Millis(2), std::nullopt});
     }
     CHECK(r.probes.size() == 3U);
-    r.pass(50);
+    r.advance(50);
     CHECK(r.sends.size() == (runs ? 5U : 3U));
     for (std::size_t i = 3; i < r.sends.size(); ++i) r.answer(r.sends[i], Outcome::ok);
     for (int i = 0; i < 20; ++i) {  // and it is as warm as before
       r.request("d" + std::to_string(i));
       if (runs) r.answer(r.sends.back(), Outcome::ok);
-      r.pass(20);
+      r.advance(20);
     }
     CHECK(r.sends.size() == (runs ? 25U : 3U));
   }
@@ -536,10 +536,10 @@
   s.invokers = 3;
   Invoker r = warm_invoker(s);
   for (const char* text : {"", "q", "qabc", "q000z000z", "nonsense", "q\xff\xfe\xfd\xfc"})
-    r.give(event::PeerMessage{1, text});
+    r.handle(event::PeerMessage{1, text});
   r.request("x");
-  r.pass(5000);
-  CHECK_FALSE(r.broken);
+  r.advance(5000);
+  CHECK_FALSE(r.final_answer_violated);
   CHECK(r.sends.back().id == "x");
 }
 
@@ -547,7 +547,7 @@
   Invoker r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
-  r.pass(100);
+  r.advance(100);
   r.request("y");
   CHECK(r.loads.size() == 1U);
   r.loaded(r.loads[0].worker, 1, 1);
@@ -603,9 +603,9 @@
   r.request("x");
   r.answer(r.sends.back(), Outcome::full);
   const auto before = r.sends.size();
-  r.pass(20);
+  r.advance(20);
   CHECK(r.sends.size() == before);
-  r.pass(100);
+  r.advance(100);
   CHECK(r.sends.size() == before + 1);
 }
 
@@ -614,7 +614,7 @@
   Invoker r = warm_invoker(settings(), 16);
   for (int i = 0; i < 8; ++i) {
     r.request(id("slow", i));
-    r.pass(100);
+    r.advance(100);
     r.answer(r.sends.back(), Outcome::ok, 900);
   }
   const auto before = r.sends.size();
@@ -628,10 +628,10 @@
   s.cancel = true;
   Invoker r = warm_invoker(s);
   r.request("x");
-  r.give(event::RequestAbandoned{"x"});
+  r.handle(event::RequestAbandoned{"x"});
   REQUIRE(r.cancels.size() == 1U);
   CHECK(r.cancels[0].id == "x");
-  r.pass(5000);
+  r.advance(5000);
   CHECK(r.answered.count("x") == 0U);
 }
 
@@ -647,7 +647,7 @@
       if (r.loads.size() > loads) r.loaded(r.loads.back().worker, r.loads.back().function, 1);
       if (r.sends.size() > sends) r.answer(r.sends.back(), fails ? Outcome::error : Outcome::ok);
       served += !fails && r.sends.size() > sends ? 1 : 0;
-      r.pass(50);
+      r.advance(50);
     }
   }
   CHECK(served == 60);
@@ -665,8 +665,8 @@
   const auto before = r.sends.size();
   REQUIRE(r.sends.back().id == "x");
   r.answer(r.sends.back(), outcome);
-  r.pass(5000);
-  CHECK_FALSE(r.broken);
+  r.advance(5000);
+  CHECK_FALSE(r.final_answer_violated);
   if (cls == "unsafe" && !unran) {
     CHECK(r.sends.size() == before);
     CHECK(r.failed == std::vector<std::string>{"x"});
@@ -679,9 +679,9 @@
   Invoker r(settings());
   r.list({});
   for (int i = 0; i < 10; ++i) r.request(id("x", i), 1, i % 2 ? "unsafe" : "safe", 500);
-  r.pass(500);
+  r.advance(500);
   CHECK(r.answered.size() == 10U);
-  CHECK_FALSE(r.broken);
+  CHECK_FALSE(r.final_answer_violated);
 }
 
 TEST_CASE("deadlines: an unanswered attempt or order does not lose a request", "[policy][deadlines]") {
@@ -691,10 +691,10 @@
     Invoker r = warm_invoker(s);
     r.request("x", 1, "unsafe");
     r.request("y", 2, "safe");
-    r.pass(4000);
+    r.advance(4000);
     CHECK(r.answered.count("x") == 1U);
     CHECK(r.answered.count("y") == 1U);
-    CHECK_FALSE(r.broken);
+    CHECK_FALSE(r.final_answer_violated);
   }
 }
 
@@ -735,7 +735,7 @@
   r.loaded("b", 1, 1);
   const auto first = r.sends.at(0).worker;
   r.answer(r.sends[0], Outcome::error);
-  r.pass(4000);
+  r.advance(4000);
   for (const auto& send : r.sends) CHECK(send.worker == first);
   CHECK(r.refused.empty());
   CHECK(r.answered.size() == 1U);
@@ -749,7 +749,7 @@
     const auto loads = r.loads.size();
     const auto before = r.sends.size();
     for (int i = 0; i < 5; ++i) r.request(id("x", i));
-    r.pass(3000);
+    r.advance(3000);
     for (auto i = before; i < r.sends.size(); ++i) CHECK(r.sends[i].worker != out);
     REQUIRE(r.loads.size() > loads);
     for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker != out);
@@ -762,7 +762,7 @@
   const auto loads = r.loads.size();
   r.list({entry(left)});
   r.request("x");
-  r.pass(3000);
+  r.advance(3000);
   CHECK(r.sends.size() == 1U);
   REQUIRE(r.loads.size() > loads);
   for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker == left);
@@ -775,7 +775,7 @@
   r.list({entry("a", WorkerState::ready, 990)});
   for (int i = 0; i < 60; ++i) {
     r.request(id("y", i), 1, "safe", 900);
-    r.pass(10);
+    r.advance(10);
     if (!r.sends.empty() && r.answered.count(r.sends.back().id) == 0)
       r.answer(r.sends.back(), Outcome::ok, 100);
   }
@@ -803,7 +803,7 @@
   r.list({entry("a"), entry("b")});
   r.request("x");
   REQUIRE(r.loads.size() == 1U);
-  r.pass(3900);
+  r.advance(3900);
   REQUIRE(r.loads.size() >= 2U);
 }
 
@@ -811,7 +811,7 @@
   Invoker r(settings());
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 40; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
-  r.pass(500);
+  r.advance(500);
   CHECK(r.loads.size() >= 2U);
   CHECK(r.loads.size() <= 12U);
 }
@@ -836,7 +836,7 @@
     const auto f = random() % 8;
     r.request(tag + std::to_string(i), f + 1, tag + "safe");
     for (auto k = loads; k < r.loads.size(); ++k) r.loaded(r.loads[k].worker, r.loads[k].function, 1);
-    r.pass(static_cast<double>(random() % 30));
+    r.advance(static_cast<double>(random() % 30));
     if (r.sends.size() > seen && r.answered.count(r.sends.back().id) == 0) {
       seen = r.sends.size();  // an attempt has one outcome
       r.answer(r.sends.back(), random() % 9 == 0 ? Outcome::error : Outcome::ok,
@@ -850,7 +850,7 @@
         placements.push_back(std::to_string(i) + "/" + send.id.substr(tag.size()));
     }
   }
-  CHECK_FALSE(r.broken);
+  CHECK_FALSE(r.final_answer_violated);
   return placements;
 }
 TEST_CASE("names: decide nothing", "[policy][names]") {
@@ -901,12 +901,12 @@
           }
           break;
         case 5: r.loaded(id("w", any(9)), static_cast<std::uint64_t>(any(9)), any(40) - 5); break;
-        case 6: r.give(event::PeerMessage{any(9) - 2, any(2) ? "1 w1\n2" : "\xff nonsense"}); break;
-        case 7: r.give(event::Timer{static_cast<std::uint64_t>(any(1000))}); break;
-        default: r.pass(any(60) == 0 ? 200000 : any(100)); break;
+        case 6: r.handle(event::PeerMessage{any(9) - 2, any(2) ? "1 w1\n2" : "\xff nonsense"}); break;
+        case 7: r.handle(event::Timer{static_cast<std::uint64_t>(any(1000))}); break;
+        default: r.advance(any(60) == 0 ? 200000 : any(100)); break;
       }
     }
-    r.pass(10000);
+    r.advance(10000);
     for (const auto& [name, when] : due) {
       UNSCOPED_INFO(name << " seed " << seed);
       CHECK(r.answered.count(name) == 1U);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -70,8 +70,8 @@
                  "[retry-policy]") {
   parts.retries.give_up(attempted(kRepeatable, Outcome::error), parts.now);
   parts.retries.give_up(attempted(kOnce, Outcome::error), parts.now);
-  CHECK(parts.emitted_of<action::Refuse>().size() == 1U);
-  CHECK(parts.emitted_of<action::Fail>().size() == 1U);
+  CHECK(parts.emitted_actions<action::Refuse>().size() == 1U);
+  CHECK(parts.emitted_actions<action::Fail>().size() == 1U);
   CHECK(parts.retries.given_up_after_attempt() == 2);
   CHECK(parts.requests.all().empty());
 }
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -25,8 +25,8 @@
   void request(Function& function, int count = 1) {
     for (int i = 0; i < count; ++i) parts.add_request("r" + std::to_string(++requests), function);
   }
-  std::size_t sends() const { return parts.emitted_of<action::Send>().size(); }
-  std::size_t loads() const { return parts.emitted_of<action::Load>().size(); }
+  std::size_t sends() const { return parts.emitted_actions<action::Send>().size(); }
+  std::size_t loads() const { return parts.emitted_actions<action::Load>().size(); }
 
   Parts parts;
   Placement placement{parts.settings, parts.workers, parts.times, parts.reports};
@@ -88,7 +88,7 @@
   for (int i = 0; i < 10; ++i) parts.times.record_run(quick.times, 0, 5);
   request(quick, 3);
   scheduler.attempt_ended(slow, worker, parts.now);
-  const auto orders = parts.emitted_of<action::Load>();
+  const auto orders = parts.emitted_actions<action::Load>();
   REQUIRE(orders.size() == 1U);
   CHECK(orders[0].function == 2U);
   CHECK(orders[0].worker == "a");
@@ -116,7 +116,7 @@
   function.instance_at(worker).loading = 0;
   shedder.shed(function, parts.now);
   CHECK(function.queue.empty());
-  CHECK(parts.emitted_of<action::Refuse>().size() == 1U);
+  CHECK(parts.emitted_actions<action::Refuse>().size() == 1U);
   CHECK(shedder.count(ShedReason::no_instance) == 1);
 }
 
--- a/tests/policy/simulated_fleet.h
+++ b/tests/policy/simulated_fleet.h
@@ -28,14 +28,14 @@
     invoker_.list(entries);
   }
 
-  void renew_list() { invoker_.give(event::ListLease{invoker_.now + Millis(3750)}); }
-  void begin_outage() { invoker_.give(event::ListLease{invoker_.now}); }
+  void renew_list() { invoker_.handle(event::ListLease{invoker_.now + Millis(3750)}); }
+  void begin_outage() { invoker_.handle(event::ListLease{invoker_.now}); }
   /// The worker answers every call so from now on, and runs none.
   void answer_with(const std::string& worker, Outcome outcome) { outcomes_[worker] = outcome; }
   /// The probes sent so far are answered: the worker says that it is well.
   void answer_probes(const std::string& worker) {
     if (std::exchange(probes, 0) > 0) {
-      invoker_.give(event::ProbeEnded{worker, Outcome::ok, Millis(1), std::nullopt});
+      invoker_.handle(event::ProbeEnded{worker, Outcome::ok, Millis(1), std::nullopt});
     }
   }
   void drain(const std::string& worker) { drains_[worker] = invoker_.now; }
@@ -78,7 +78,7 @@
     if (drain != drains_.end() && invoker_.now > drain->second + grace_) ++late;
   }
   void step() {
-    invoker_.pass(kStep);
+    invoker_.advance(kStep);
     take_actions();
     answer();
     if (fraction() >= calls_per_step_) return;
@@ -109,7 +109,7 @@
   void answer() {
     for (const auto& [worker, sent_at] : std::exchange(probes_out_, {})) {
       const Outcome outcome = drains(worker) ? Outcome::error : Outcome::ok;
-      invoker_.give(event::ProbeEnded{worker, outcome, invoker_.now - sent_at, std::nullopt});
+      invoker_.handle(event::ProbeEnded{worker, outcome, invoker_.now - sent_at, std::nullopt});
     }
     const auto due = std::partition(pending_.begin(), pending_.end(),
                                     [&](const Pending& each) { return each.at > invoker_.now; });
@@ -123,8 +123,8 @@
         invoker_.answer(*each.call, outcome, elapsed, Warmth::unknown);
       } else {
         const bool away = drains(each.order.worker);
-        invoker_.give(event::LoadEnded{each.order.worker, each.order.function,
-                                       away ? Outcome::full : Outcome::ok, Millis(elapsed), away ? 0 : 1});
+        invoker_.handle(event::LoadEnded{each.order.worker, each.order.function,
+                                         away ? Outcome::full : Outcome::ok, Millis(elapsed), away ? 0 : 1});
       }
       take_actions();
     }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -68,7 +68,7 @@
   const WorkerIndex warming = parts.add_worker(entry("new", WorkerState::ready, 990));
   parts.add_worker(entry("old"));
   for (int i = 0; i < 400; ++i, parts.now += Millis(10)) parts.slow_start.has_budget(warming, 1e6, parts.now);
-  const auto probes = parts.emitted_of<action::Probe>();
+  const auto probes = parts.emitted_actions<action::Probe>();
   REQUIRE(probes.size() == 1U);
   CHECK(probes[0].worker == "old");
 }
