--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,9 +6,9 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr double kLateWorthKept = 0.5;  // a late answer that keeps this part of its worth is waited for
-constexpr double kUsualSlowdown = 2;    // a slowdown up to this is chance: service times vary
-constexpr double kLeastWeight = 1e-9;
+constexpr double kMinLateValue = 0.5;     // a late answer that keeps this part of its worth is waited for
+constexpr double kToleratedSlowdown = 2;  // a slowdown up to this is chance: service times vary
+constexpr double kMinPriorityWeight = 1e-9;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
 bool Admission::is_worth_queueing(const Request& request, Millis now) const {
   if (can_meet_objective(request, now)) return true;
   const ClassSettings* settings = class_settings(settings_, request.class_index);
-  return settings != nullptr && settings->late_value >= kLateWorthKept;
+  return settings != nullptr && settings->late_value >= kMinLateValue;
 }
 
 double Admission::priority_weight(int class_index) const {
@@ -38,7 +38,7 @@
 }
 
 double Admission::highest_priority_weight() const {
-  double highest = kLeastWeight;
+  double highest = kMinPriorityWeight;
   for (int i = 0; i < static_cast<int>(settings_.classes.size()); ++i) {
     highest = std::max(highest, priority_weight(i));
   }
@@ -47,7 +47,7 @@
 
 bool Admission::is_worth_sending(const Request& request, WorkerIndex worker, Millis now) const {
   const double run = times_.unloaded_run(request.function->times);
-  const double wait = run * std::max(0.0, limits_.slowdown(worker, now) - kUsualSlowdown);
+  const double wait = run * std::max(0.0, limits_.slowdown(worker, now) - kToleratedSlowdown);
   if (wait <= 0) return true;
   if (!is_worth_queueing(request, now)) return false;
   const Millis end = can_meet_objective(request, now) ? request.objective_at : request.deadline;
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kListRetryDelay{1000};   // after a list that failed
 constexpr std::uint64_t kSweepTimer = 0;  // token; others are serial numbers of requests, from 1 on
 
-Settings with_invokers(Settings settings) {
+Settings with_valid_invoker_count(Settings settings) {
   settings.invokers = std::max(settings.invokers, 1);
   return settings;
 }
@@ -18,7 +18,7 @@
 }  // namespace
 
 Engine::Engine(const Settings& settings, ActionSink& actions)
-    : settings_(with_invokers(settings)),
+    : settings_(with_valid_invoker_count(settings)),
       actions_(actions),
       random_(settings.seed),
       workers_(settings_),
@@ -51,15 +51,15 @@
     list_retry_at_ = now + kListRetryDelay;
     return;
   }
-  for (const WorkerChange& change : workers_.apply(list, now)) apply(change);
-  scheduler_.consider_all(now);
+  for (const WorkerChange& change : workers_.apply(list, now)) apply_change(change);
+  scheduler_.schedule_all(now);
 }
 
 void Engine::on(const event::ListLease& lease, Millis now) {
   const bool was_current = lease_.is_list_current(now);
   lease_.set_list_lease(lease);
   renewal_.update(now);
-  if (!was_current && lease_.is_list_current(now)) scheduler_.consider_all(now);
+  if (!was_current && lease_.is_list_current(now)) scheduler_.schedule_all(now);
 }
 
 void Engine::on(const event::ConnectionsLost& lost, Millis now) {
@@ -67,9 +67,9 @@
   if (worker != nullptr) outcomes_.record_connections_lost(worker->index, now);
 }
 
-void Engine::apply(const WorkerChange& change) {
+void Engine::apply_change(const WorkerChange& change) {
   switch (change.kind) {
-    case WorkerChange::Kind::added: return reset(change.worker);
+    case WorkerChange::Kind::added: return reset_worker(change.worker);
     case WorkerChange::Kind::restarted:
       outliers_.restarted(change.worker);
       slow_start_.restarted(change.worker);
@@ -78,7 +78,7 @@
   }
 }
 
-void Engine::reset(WorkerIndex worker) {
+void Engine::reset_worker(WorkerIndex worker) {
   lease_.reset(worker);
   renewal_.reset(worker);
   outliers_.reset(worker);
@@ -106,11 +106,11 @@
   request.arrived_at = now;
   request.deadline = now + event.expires_in;
   request.objective_at = retries_.objective_at(class_index, event.expires_in, now);
-  const Millis last_moment = request.deadline - settings_.tick - now;
-  if (last_moment.count() <= 0) return retries_.give_up(request, now);
-  actions_.emit(action::SetTimer{last_moment, request.serial});
+  const Millis give_up_delay = request.deadline - settings_.tick - now;
+  if (give_up_delay.count() <= 0) return retries_.give_up(request, now);
+  actions_.emit(action::SetTimer{give_up_delay, request.serial});
   requests_.enqueue(request, QueueEnd::back);
-  scheduler_.consider(function, now);
+  scheduler_.schedule(function, now);
 }
 
 void Engine::on(const event::AttemptEnded& answer, Millis now) {
@@ -124,7 +124,7 @@
   renewal_.update(now);
   if (answer.request_finished || request->done) {
     requests_.finish(*request);
-  } else if (!request->has_attempt_out() && !request->streaming) {
+  } else if (!request->has_attempt_in_flight() && !request->streaming) {
     retries_.retry_or_give_up(*request, now);
   }
   scheduler_.attempt_ended(function, worker, now);
@@ -142,7 +142,7 @@
   if (request == nullptr) return;
   const bool cancels = settings_.cancel && !request->streaming;
   for (std::size_t i = 0; cancels && i < request->attempts.size(); ++i) {
-    const bool is_out = request->attempts[i].state == AttemptState::out;
+    const bool is_out = request->attempts[i].state == AttemptState::in_flight;
     if (is_out) actions_.emit(action::Cancel{event.id, static_cast<int>(i)});
   }
   requests_.finish(*request);
@@ -154,7 +154,7 @@
   if (function == nullptr || worker == nullptr) return;
   outcomes_.record_order(*function, worker->index, order, now);
   renewal_.order_ended(worker->index, order, now);
-  scheduler_.consider(*function, now);
+  scheduler_.schedule(*function, now);
 }
 
 void Engine::on(const event::ProbeEnded& probe, Millis now) {
@@ -162,7 +162,7 @@
   if (worker == nullptr) return;
   outcomes_.record_probe(worker->index, probe, now);
   // What waits for the answer goes there or elsewhere now.
-  if (!lease_.is_list_current(now)) scheduler_.consider_all(now);
+  if (!lease_.is_list_current(now)) scheduler_.schedule_all(now);
 }
 
 void Engine::on(const event::PeerMessage& event, Millis now) {
@@ -186,7 +186,7 @@
   if (timer.token == kSweepTimer) return sweep(now);
   if (timer.token == kRenewalTimer) {
     renewal_.update(now);
-    return scheduler_.consider_all(now);
+    return scheduler_.schedule_all(now);
   }
   Request* request = requests_.find(timer.token);
   if (request == nullptr || request->done || request->streaming) return;
@@ -200,11 +200,11 @@
     actions_.emit(action::RequestList{true});
   }
   functions_.expire(now);
-  outcomes_.find_unanswered(now);
+  outcomes_.handle_unanswered(now);
   outliers_.repeat_probes(now);
   reports_.exchange(now);
   renewal_.update(now);
-  scheduler_.consider_all(now);
+  scheduler_.schedule_all(now);
   for (const auto& function : functions_.all()) shedder_.shed(*function, now);
   prune(now);
 }
@@ -212,7 +212,7 @@
 void Engine::prune(Millis now) {
   for (const WorkerIndex worker : workers_.prune(now)) {
     functions_.forget_instances(worker);
-    reset(worker);
+    reset_worker(worker);
   }
   functions_.prune(now);
 }
@@ -227,7 +227,7 @@
   counters["now.list_stale"] = lease_.is_list_current(now) ? 0 : 1;
   counters["now.kept"] = static_cast<double>(renewal_.kept());
   counters["now.withheld"] = static_cast<double>(lease_.withheld(now));
-  for (std::size_t i = 0; i < kShedReasons; ++i) {
+  for (std::size_t i = 0; i < kShedReasonCount; ++i) {
     const auto reason = static_cast<ShedReason>(i);
     if (shedder_.count(reason) > 0) {
       counters[std::string("shed.") + log_name(reason)] = shedder_.count(reason);
--- a/src/policy/engine.h
+++ b/src/policy/engine.h
@@ -81,8 +81,8 @@
   Millis list_retry_at_{kNever};  // kNever: no failed list to ask for again
 
   int class_index_of(const std::string& name) const;
-  void reset(WorkerIndex worker);
-  void apply(const WorkerChange& change);
+  void reset_worker(WorkerIndex worker);
+  void apply_change(const WorkerChange& change);
   void sweep(Millis now);
   void prune(Millis now);
 };
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -23,7 +23,7 @@
   at_own_limit,      // this invoker has as much in flight there as it may
   worker_full,       // it refused an attempt a moment ago
 };
-inline constexpr std::size_t kShedReasons = 6;
+inline constexpr std::size_t kShedReasonCount = 6;
 
 /// Name of the reason in the log, which operators read.
 const char* log_name(ShedReason reason);
@@ -49,7 +49,7 @@
   const ConcurrencyLimit& limits_;
   const Admission& admission_;
   RetryPolicy& retries_;
-  std::array<double, kShedReasons> counts_{};
+  std::array<double, kShedReasonCount> counts_{};
 
   ShedReason reason_for(const Function& function, const Request& request, Millis now) const;
 };
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 /// So many usual runs, slowdown included, at an instance known to be loaded are a load.
-constexpr double kRunsThatShowLoad = 4;
+constexpr double kLoadThresholdRuns = 4;
 /// The same at an instance that is not known to be loaded.
-constexpr double kRunsThatShowLoadUnconfirmed = 2.5;
-constexpr double kLeastLoad = 1;     // milliseconds
-constexpr Millis kNearlyOver{100};   // of the time that a client has left
-constexpr int kLocalFaultTries = 3;  // so often a request is sent elsewhere at once, then after the backoff
+constexpr double kLoadThresholdRunsUnconfirmed = 2.5;
+constexpr double kMinLoadMs = 1;      // milliseconds
+constexpr Millis kNearDeadline{100};  // of the time that a client has left
+constexpr int kSendsPerBackoff = 3;   // so often a request is sent elsewhere at once, then after the backoff
 
 /// The outcome says that bytes of the worker arrived, or that it refused a connection.
-bool is_heard_from(Outcome outcome) {
+bool proves_contact(Outcome outcome) {
   switch (outcome) {
     case Outcome::timeout:
     case Outcome::cancelled:
@@ -24,7 +24,7 @@
   }
 }
 
-bool is_answer_of_worker(Outcome outcome) {
+bool is_worker_response(Outcome outcome) {
   return outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::miss;
 }
 
@@ -59,42 +59,43 @@
   Instance& instance = request.function->instance_at(worker);
   workers_.attempt_ended(worker, attempt.confirmed);
   instance.in_flight = std::max(0, instance.in_flight - 1);
-  if (is_heard_from(answer.outcome)) workers_.heard_from(worker, now);
-  if (is_answer_of_worker(answer.outcome)) note_alive(worker, now);
-  if (answer.outcome == Outcome::not_sent) return take_back(request, attempt, instance, now);
+  if (proves_contact(answer.outcome)) workers_.heard_from(worker, now);
+  if (is_worker_response(answer.outcome)) note_alive(worker, now);
+  if (answer.outcome == Outcome::not_sent) return undo_unsent_attempt(request, attempt, instance, now);
   reports_.record(worker, answer.report, now);
-  learn(request, attempt, instance, answer, now);
+  apply_outcome(request, attempt, instance, answer, now);
 }
 
 /// A fault of this machine kept the attempt from leaving: it changes no belief and counts as no attempt. Its
 /// request may go elsewhere at once, but not without end: the same fault is likely to meet it there.
-void OutcomeRecorder::take_back(Request& request, const Attempt& attempt, Instance& instance, Millis now) {
+void OutcomeRecorder::undo_unsent_attempt(Request& request, const Attempt& attempt, Instance& instance,
+                                          Millis now) {
   slow_start_.refund(attempt.worker, attempt.warm_up_cost);
   const bool assumed_for_this_attempt = !attempt.confirmed && !instance.confirmed && instance.in_flight == 0;
   if (assumed_for_this_attempt) instance.loaded = 0;
   limits_.record_local_fault(attempt.worker, now);
-  if (request.not_sent % kLocalFaultTries == 0) request.not_before = now + kLocalFaultBackoff;
+  if (request.attempts_not_sent % kSendsPerBackoff == 0) request.not_before = now + kLocalFaultBackoff;
 }
 
-void OutcomeRecorder::learn(Request& request, const Attempt& attempt, Instance& instance,
-                            const event::AttemptEnded& answer, Millis now) {
+void OutcomeRecorder::apply_outcome(Request& request, const Attempt& attempt, Instance& instance,
+                                    const event::AttemptEnded& answer, Millis now) {
   const WorkerIndex worker = attempt.worker;
   switch (answer.outcome) {
     case Outcome::ok: return record_success(request, attempt, instance, answer, now);
     case Outcome::miss:
       instance.loaded = 0;
       request.function->missed = true;
-      if (!settings_.rejects_on_miss) record_useless(request, attempt, answer, now);
+      if (!settings_.rejects_on_miss) record_useless_answer(request, attempt, answer, now);
       return;
     case Outcome::full: lease_.turned_away(worker, now); return limits_.record_full(worker, now);
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset:
-      if (!attempt.taken_as_lost) outliers_.record_lost_answers(worker, request.class_index, now);
+      if (!attempt.presumed_lost) outliers_.record_lost_answers(worker, request.class_index, now);
       return outliers_.connection_failed(worker, true, now);
     case Outcome::unreachable:
-      if (!attempt.taken_as_lost) outliers_.record_lost_answers(worker, request.class_index, now);
+      if (!attempt.presumed_lost) outliers_.record_lost_answers(worker, request.class_index, now);
       return outliers_.network_unreachable(worker, now);
-    case Outcome::moot: return record_useless(request, attempt, answer, now);
+    case Outcome::moot: return record_useless_answer(request, attempt, answer, now);
     case Outcome::error:
     case Outcome::timeout: return record_failure(request, attempt, answer, now);
     default: return;
@@ -118,39 +119,39 @@
                                    const event::AttemptEnded& answer, Millis now) {
   FunctionTimes& function = request.function->times;
   const double elapsed = std::max(answer.elapsed.count(), 0.0);
-  const bool not_told = answer.warmth == Warmth::unknown;
+  const bool warmth_unknown = answer.warmth == Warmth::unknown;
   const bool was_loaded =
-      not_told ? !shows_load(request, attempt, elapsed, now) : answer.warmth == Warmth::warm;
+      warmth_unknown ? !implies_load(request, attempt, elapsed, now) : answer.warmth == Warmth::warm;
   if (was_loaded) {
     times_.record_run(function, request.class_index, elapsed);
     limits_.record_slowdown(attempt.worker, elapsed / times_.unloaded_run(function), now);
     return;
   }
-  const bool began_load =
-      not_told ? attempt.alone && !attempt.confirmed : answer.warmth == Warmth::started_load;
-  if (began_load) times_.record_load(function, std::max(elapsed - times_.run(function), kLeastLoad));
+  const bool started_load =
+      warmth_unknown ? attempt.only_in_flight && !attempt.confirmed : answer.warmth == Warmth::started_load;
+  if (started_load) times_.record_load(function, std::max(elapsed - times_.run(function), kMinLoadMs));
 }
 
-bool OutcomeRecorder::shows_load(const Request& request, const Attempt& attempt, double elapsed,
-                                 Millis now) const {
+bool OutcomeRecorder::implies_load(const Request& request, const Attempt& attempt, double elapsed,
+                                   Millis now) const {
   const double work = times_.work(request.class_index);
-  if (!attempt.confirmed) return elapsed > work * kRunsThatShowLoadUnconfirmed;
+  if (!attempt.confirmed) return elapsed > work * kLoadThresholdRunsUnconfirmed;
   const double slowdown = std::max(1.0, limits_.slowdown(attempt.worker, now));
-  return elapsed > work * (kRunsThatShowLoad * slowdown);
+  return elapsed > work * (kLoadThresholdRuns * slowdown);
 }
 
 // An answer that ends nothing and explains nothing. Of a request whose time is nearly over a worker may well
 // say that it is moot.
-void OutcomeRecorder::record_useless(Request& request, const Attempt& attempt,
-                                     const event::AttemptEnded& answer, Millis now) {
+void OutcomeRecorder::record_useless_answer(Request& request, const Attempt& attempt,
+                                            const event::AttemptEnded& answer, Millis now) {
   request.avoid(attempt.worker);
-  const bool is_over = answer.request_finished || request.done || request.deadline - now <= kNearlyOver;
+  const bool is_over = answer.request_finished || request.done || request.deadline - now <= kNearDeadline;
   if (!is_over) record_failure(request, attempt, answer, now);
 }
 
 void OutcomeRecorder::record_failure(const Request& request, const Attempt& attempt,
                                      const event::AttemptEnded& answer, Millis now) {
-  if (attempt.taken_as_lost) return;  // it has counted already
+  if (attempt.presumed_lost) return;  // it has counted already
   // Requests for functions that no worker knows fail wherever they go: one of them counts, at most.
   Function& function = *request.function;
   if (!function.times.run.known() && function.blamed) return;
@@ -178,15 +179,15 @@
   if (instance.loading > 0) {
     functions_.end_load(instance);
     if (order.outcome == Outcome::ok) {
-      times_.record_load(function.times, std::max(order.elapsed.count(), kLeastLoad));
+      times_.record_load(function.times, std::max(order.elapsed.count(), kMinLoadMs));
     }
     // Orders that fail at once would else go out at every sweep, to one worker after the other.
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
     if (order.instances > 0) function.missed = false;
   }
   if (order.outcome == Outcome::full) lease_.turned_away(worker, now);
-  const bool stands = order.outcome == Outcome::ok && order.instances > 0;
-  if (stands) lease_.accepted(worker, function.id, now - order.elapsed);
+  const bool is_loaded = order.outcome == Outcome::ok && order.instances > 0;
+  if (is_loaded) lease_.accepted(worker, function.id, now - order.elapsed);
   switch (order.outcome) {
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset: return outliers_.connection_failed(worker, true, now);
@@ -203,7 +204,7 @@
   // A worker that drains says so: it runs, and is no outlier.
   const MembershipLease::Word word = lease_.probe_ended(worker, probe, now);
   if (word == MembershipLease::Word::not_well) return note_alive(worker, now);
-  if (word == MembershipLease::Word::well_again) process_replaced(worker, now);
+  if (word == MembershipLease::Word::well_again) handle_new_process(worker, now);
   if (probe.outcome != Outcome::ok) return outliers_.probe_failed(worker, probe.outcome, now);
   outliers_.probe_answered(worker);
   note_alive(worker, now);
@@ -213,22 +214,22 @@
 void OutcomeRecorder::record_connections_lost(WorkerIndex worker, Millis now) {
   if (lease_.is_list_current(now)) return;
   lease_.end(worker);
-  process_replaced(worker, now);
+  handle_new_process(worker, now);
 }
 
 // The list would tell of a restart, which counts as told though it cannot be received.
-void OutcomeRecorder::process_replaced(WorkerIndex worker, Millis now) {
+void OutcomeRecorder::handle_new_process(WorkerIndex worker, Millis now) {
   functions_.forget_instances(worker);
   slow_start_.returned(worker, now);
 }
 
-void OutcomeRecorder::find_unanswered(Millis now) {
+void OutcomeRecorder::handle_unanswered(Millis now) {
   for (auto& [serial, request] : requests_.all()) {
-    if (request.done || request.streaming || !request.has_attempt_out()) continue;
+    if (request.done || request.streaming || !request.has_attempt_in_flight()) continue;
     Attempt& attempt = request.attempts.back();
     if (!is_overdue(request, attempt, now)) continue;
     if (outliers_.is_silent(attempt.worker, now)) outliers_.eject(attempt.worker, now);
-    if (!attempt.taken_as_lost) take_as_lost(request, attempt, now);
+    if (!attempt.presumed_lost) presume_lost(request, attempt, now);
   }
 }
 
@@ -241,8 +242,8 @@
   return now - attempt.sent_at > run + load;
 }
 
-void OutcomeRecorder::take_as_lost(const Request& request, Attempt& attempt, Millis now) {
-  attempt.taken_as_lost = true;
+void OutcomeRecorder::presume_lost(const Request& request, Attempt& attempt, Millis now) {
+  attempt.presumed_lost = true;
   outliers_.record_failure(attempt.worker, request.class_index, now);
   if (!settings_.cancel || !retries_.may_repeat(request, nullptr, now)) return;
   const bool may_still_serve = outliers_.is_usable(attempt.worker, now) &&
--- a/src/policy/outcome_recorder.h
+++ b/src/policy/outcome_recorder.h
@@ -19,7 +19,7 @@
 /// Passes what an outcome says to the parts that keep it: times, instances, slowdown, health, budgets. It
 /// gives no answers and starts nothing.
 ///
-/// Owned by Policy. record_attempt and record_order are O(instances of the function), find_unanswered is
+/// Owned by Policy. record_attempt and record_order are O(instances of the function), handle_unanswered is
 /// O(requests).
 class OutcomeRecorder {
  public:
@@ -43,7 +43,7 @@
 
   /// Counts attempts out for far too long as failures, and cancels them where they may run again: a silent
   /// worker would let them wait until their deadlines.
-  void find_unanswered(Millis now);
+  void handle_unanswered(Millis now);
 
  private:
   const Settings& settings_;
@@ -60,21 +60,21 @@
   const RetryPolicy& retries_;
   ActionSink& actions_;
 
-  void process_replaced(WorkerIndex worker, Millis now);
-  void take_back(Request& request, const Attempt& attempt, Instance& instance, Millis now);
-  void learn(Request& request, const Attempt& attempt, Instance& instance, const event::AttemptEnded& answer,
-             Millis now);
+  void handle_new_process(WorkerIndex worker, Millis now);
+  void undo_unsent_attempt(Request& request, const Attempt& attempt, Instance& instance, Millis now);
+  void apply_outcome(Request& request, const Attempt& attempt, Instance& instance,
+                     const event::AttemptEnded& answer, Millis now);
   void record_success(const Request& request, const Attempt& attempt, Instance& instance,
                       const event::AttemptEnded& answer, Millis now);
   void record_times(const Request& request, const Attempt& attempt, const event::AttemptEnded& answer,
                     Millis now);
-  void record_useless(Request& request, const Attempt& attempt, const event::AttemptEnded& answer,
-                      Millis now);
+  void record_useless_answer(Request& request, const Attempt& attempt, const event::AttemptEnded& answer,
+                             Millis now);
   void record_failure(const Request& request, const Attempt& attempt, const event::AttemptEnded& answer,
                       Millis now);
-  bool shows_load(const Request& request, const Attempt& attempt, double elapsed, Millis now) const;
+  bool implies_load(const Request& request, const Attempt& attempt, double elapsed, Millis now) const;
   bool is_overdue(const Request& request, const Attempt& attempt, Millis now) const;
-  void take_as_lost(const Request& request, Attempt& attempt, Millis now);
+  void presume_lost(const Request& request, Attempt& attempt, Millis now);
 };
 
 }  // namespace pathstack::policy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -24,7 +24,7 @@
     }
   }
 
-  std::map<std::string, double> tally() const {
+  std::map<std::string, double> statistics() const {
     std::map<std::string, double> counters = {{"now.run_ms", 0}, {"now.load_ms", 0}};
     if (engine_) engine_->add_counters(counters, now_);
     return counters;
@@ -40,7 +40,7 @@
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
-std::map<std::string, double> Policy::statistics() const { return state_->tally(); }
+std::map<std::string, double> Policy::statistics() const { return state_->statistics(); }
 void Policy::handle(Millis now, const Event& event, std::vector<Action>& out) {
   state_->handle(now, event, out);
 }
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -58,16 +58,16 @@
 Attempt* RequestTable::end_attempt(Request& request, int number, Outcome outcome) {
   if (number < 0 || number >= static_cast<int>(request.attempts.size())) return nullptr;
   Attempt& attempt = request.attempts[static_cast<std::size_t>(number)];
-  if (attempt.state != AttemptState::out) return nullptr;
+  if (attempt.state != AttemptState::in_flight) return nullptr;
   attempt.state = state_after(outcome);
-  if (attempt.state == AttemptState::not_sent) ++request.not_sent;
+  if (attempt.state == AttemptState::not_sent) ++request.attempts_not_sent;
   return &attempt;
 }
 
 void RequestTable::finish(Request& request) {
   dequeue(request);
   request.done = true;
-  if (request.has_attempt_out()) return;
+  if (request.has_attempt_in_flight()) return;
   by_id_.erase(request.id);
   requests_.erase(request.serial);
 }
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -14,7 +14,7 @@
 
 /// An attempt is out until its outcome comes; the other states are final.
 enum class AttemptState {
-  out,
+  in_flight,
   not_sent,      // a fault of this machine kept it from leaving
   never_ran,     // its outcome proves that the worker did not run it
   may_have_run,  // nothing proves that
@@ -23,11 +23,11 @@
 struct Attempt {
   WorkerIndex worker = 0;
   Millis sent_at{0};
-  AttemptState state = AttemptState::out;
-  bool confirmed = false;      // as sent: the instance was known to be loaded
-  bool alone = false;          // as sent: nothing else of the function was in flight there
-  bool taken_as_lost = false;  // out for so long that it counted as a failure
-  double warm_up_cost = 0;     // taken from the budget of a worker that is warming up
+  AttemptState state = AttemptState::in_flight;
+  bool confirmed = false;       // as sent: the instance was known to be loaded
+  bool only_in_flight = false;  // as sent: nothing else of the function was in flight there
+  bool presumed_lost = false;   // out for so long that it counted as a failure
+  double warm_up_cost = 0;      // taken from the budget of a worker that is warming up
 };
 
 /// A request lives from its arrival until its final answer, and beyond it while an attempt is out.
@@ -38,23 +38,25 @@
   Function* function = nullptr;
   Millis arrived_at{0};
   Millis deadline{0};
-  Millis objective_at{0};            // an answer after this is late
-  bool done = false;                 // it has its final answer, or its client left
-  bool streaming = false;            // an answer has begun
-  std::vector<Attempt> attempts;     // one is out at a time; numbers are those of the invoker
-  int not_sent = 0;                  // of the attempts
-  std::vector<WorkerIndex> avoided;  // workers whose answers say that another attempt there is no use
-  Millis not_before{kNever};         // faults of this machine let it go again no sooner
+  Millis objective_at{0};                    // an answer after this is late
+  bool done = false;                         // it has its final answer, or its client left
+  bool streaming = false;                    // an answer has begun
+  std::vector<Attempt> attempts;             // one is out at a time; numbers are those of the invoker
+  int attempts_not_sent = 0;                 // of the attempts
+  std::vector<WorkerIndex> avoided_workers;  // workers whose answers say that another attempt there is no use
+  Millis not_before{kNever};                 // faults of this machine let it go again no sooner
 
   void avoid(WorkerIndex worker) {
-    if (!avoids(worker)) avoided.push_back(worker);
+    if (!avoids(worker)) avoided_workers.push_back(worker);
   }
   bool avoids(WorkerIndex worker) const {
-    return std::find(avoided.begin(), avoided.end(), worker) != avoided.end();
+    return std::find(avoided_workers.begin(), avoided_workers.end(), worker) != avoided_workers.end();
+  }
+  bool has_attempt_in_flight() const {
+    return !attempts.empty() && attempts.back().state == AttemptState::in_flight;
   }
-  bool has_attempt_out() const { return !attempts.empty() && attempts.back().state == AttemptState::out; }
   /// Attempts that count against the limit of the settings.
-  int attempts_sent() const { return static_cast<int>(attempts.size()) - not_sent; }
+  int attempts_sent() const { return static_cast<int>(attempts.size()) - attempts_not_sent; }
 };
 
 enum class QueueEnd { front, back };
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,8 +6,8 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr int kMostVotes = 20;    // after so many others in a row first attempts have a new time
-constexpr int kVotesForSame = 3;  // two of three arrivals may be retries
+constexpr int kMaxVotes = 20;      // after so many others in a row first attempts have a new time
+constexpr int kVotesPerMatch = 3;  // two of three arrivals may be retries
 
 }  // namespace
 
@@ -25,19 +25,19 @@
       admission_(admission),
       random_(random),
       actions_(actions),
-      first_attempts_(settings.classes.size() + 1) {}
+      first_attempt_times_(settings.classes.size() + 1) {}
 
 bool RetryPolicy::may_repeat(const Request& request, const Worker* worker, Millis now) const {
   const ClassSettings* settings = class_settings(settings_, request.class_index);
   for (const Attempt& attempt : request.attempts) {
     if (attempt.state == AttemptState::never_ran || attempt.state == AttemptState::not_sent) continue;
-    if (settings == nullptr || !may_follow(attempt, *settings, worker, now)) return false;
+    if (settings == nullptr || !may_repeat_after(attempt, *settings, worker, now)) return false;
   }
   return true;
 }
 
-bool RetryPolicy::may_follow(const Attempt& attempt, const ClassSettings& settings, const Worker* worker,
-                             Millis now) const {
+bool RetryPolicy::may_repeat_after(const Attempt& attempt, const ClassSettings& settings,
+                                   const Worker* worker, Millis now) const {
   if (settings.semantics == Semantics::once) return false;
   if (settings.semantics == Semantics::repeatable) return true;
   if (now - attempt.sent_at + settings_.tick > settings.key_window) return false;
@@ -61,7 +61,8 @@
 bool RetryPolicy::allows_worker(const Request& request, WorkerIndex worker) const {
   if (!request.avoids(worker)) return true;
   const auto is_ready = [&](WorkerIndex index) { return workers_.is_ready(index); };
-  const auto avoided = std::count_if(request.avoided.begin(), request.avoided.end(), is_ready);
+  const auto avoided =
+      std::count_if(request.avoided_workers.begin(), request.avoided_workers.end(), is_ready);
   return avoided >= workers_.ready_count();
 }
 
@@ -69,7 +70,7 @@
   if (now < request.not_before || limits_.is_backing_off(worker, now)) return false;
   if (request.done || request.streaming || now >= request.deadline) return false;
   if (!has_attempts_left(request)) return false;
-  if (!settings_.hedged_attempts && request.has_attempt_out()) return false;
+  if (!settings_.hedged_attempts && request.has_attempt_in_flight()) return false;
   if (!outliers_.is_usable(worker, now)) return false;
   if (!outliers_.serves_class(worker, request.class_index, now)) return false;
   if (!allows_worker(request, worker)) return false;
@@ -107,15 +108,15 @@
   const bool has_objective = settings != nullptr && settings->latency_objective.count() > 0;
   const Millis from_now = has_objective ? std::min(deadline, now + settings->latency_objective) : deadline;
 
-  FirstAttempts& first = first_attempts_[class_slot(class_index)];
-  const bool same = std::abs((time_left - first.time_left).count()) <= 2 * settings_.tick.count();
-  first.votes = std::min(first.votes + (same ? kVotesForSame : -1), kMostVotes);
+  FirstAttemptTime& first = first_attempt_times_[class_slot(class_index)];
+  const bool matches = std::abs((time_left - first.time_left).count()) <= 2 * settings_.tick.count();
+  first.votes = std::min(first.votes + (matches ? kVotesPerMatch : -1), kMaxVotes);
   if (first.votes < 0) {
     first.time_left = time_left;
     first.votes = 1;
     return from_now;
   }
-  if (settings == nullptr || same) return from_now;
+  if (settings == nullptr || matches) return from_now;
   return std::min(from_now, deadline - settings->deadline + settings->latency_objective);
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -21,8 +21,8 @@
 /// key only within the key's window and scope. Attempts that a fault of this machine kept from leaving count
 /// for nothing.
 ///
-/// Owned by Policy. allows_worker and may_send are O(attempts of the request), the latter more for a worker that is
-/// warming up; retry is O(workers x attempts).
+/// Owned by Policy. allows_worker and may_send are O(attempts of the request), the latter more for a worker
+/// that is warming up; retry is O(workers x attempts).
 class RetryPolicy {
  public:
   RetryPolicy(const Settings& settings, const WorkerTable& workers, RequestTable& requests,
@@ -50,9 +50,9 @@
   Millis objective_at(int class_index, Millis time_left, Millis now);
 
  private:
-  struct FirstAttempts {  // of a class
-    Millis time_left{0};  // what first attempts are given
-    int votes = 0;        // arrivals that had this time left, over those that had another
+  struct FirstAttemptTime {  // of a class
+    Millis time_left{0};     // what first attempts are given
+    int votes = 0;           // arrivals that had this time left, over those that had another
   };
 
   const Settings& settings_;
@@ -65,12 +65,12 @@
   const Admission& admission_;
   Random& random_;
   ActionSink& actions_;
-  std::vector<FirstAttempts> first_attempts_;  // by class_slot
+  std::vector<FirstAttemptTime> first_attempt_times_;  // by class_slot
   double given_up_after_attempt_ = 0;
 
   bool has_attempts_left(const Request& request) const;
-  bool may_follow(const Attempt& attempt, const ClassSettings& settings, const Worker* worker,
-                  Millis now) const;
+  bool may_repeat_after(const Attempt& attempt, const ClassSettings& settings, const Worker* worker,
+                        Millis now) const;
   bool may_repeat_anywhere(const Request& request, Millis now) const;
   Millis retry_after(const Request& request, Millis now);
 };
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -30,7 +30,7 @@
 }
 
 // E of equations 6 and 7 with V = 0. An arrival stands in the queue already: N + 1 is the queue's length.
-double Scheduler::queued_after_load(const Function& function, int slots) const {
+double Scheduler::expected_queue_after_load(const Function& function, int slots) const {
   const auto queued = static_cast<double>(function.queue.size());
   if (slots == 0) return queued;
   const double run = times_.run(function.times);
@@ -45,60 +45,60 @@
 }
 
 // Equation 10.
-double Scheduler::weight_to_load(const Function& function, Millis now) const {
+double Scheduler::load_weight(const Function& function, Millis now) const {
   const int slots = usable_slots(function, now);
-  const double queued = queued_after_load(function, slots);
+  const double queued = expected_queue_after_load(function, slots);
   if (queued <= 0) return std::numeric_limits<double>::infinity();
   return times_.run(function.times) + times_.load(function.times) * (slots + 1) / queued;
 }
 
-void Scheduler::consider(Function& function, Millis now) {
+void Scheduler::schedule(Function& function, Millis now) {
   // A load would be too much where a probe's answer lets the queue go on in a moment.
-  const Blocked blocked = send_queued(function, now);
-  if (blocked == Blocked::worker_unconfirmed || blocked == Blocked::delayed) return;
-  if (function.queue.empty() || queued_after_load(function, usable_slots(function, now)) <= 0) return;
+  const StopReason stopped_by = send_queued(function, now);
+  if (stopped_by == StopReason::worker_unconfirmed || stopped_by == StopReason::delayed) return;
+  if (function.queue.empty() || expected_queue_after_load(function, usable_slots(function, now)) <= 0) return;
   const Request& next = *admission_.next_in_queue(function, now);
   const auto worker = selector_.load_candidate(function, next, now);
   if (worker) start_load(function, *worker, now);
 }
 
-void Scheduler::consider_all(Millis now) {
+void Scheduler::schedule_all(Millis now) {
   std::multimap<double, Function*> by_weight;
   for (const auto& function : functions_.all()) {
-    if (!function->queue.empty()) by_weight.emplace(weight_to_load(*function, now), function.get());
+    if (!function->queue.empty()) by_weight.emplace(load_weight(*function, now), function.get());
   }
-  for (const auto& [weight, function] : by_weight) consider(*function, now);
+  for (const auto& [weight, function] : by_weight) schedule(*function, now);
 }
 
 // Equation 9 with V = 0 is R: the function of the lowest weight below it gets this worker, else our own next
 // request.
 void Scheduler::attempt_ended(Function& function, WorkerIndex worker, Millis now) {
-  if (!selector_.may_load(worker, now)) return consider(function, now);
-  Function* best = nullptr;
-  double least = times_.run(function.times);
+  if (!selector_.may_load(worker, now)) return schedule(function, now);
+  Function* lightest = nullptr;
+  double lowest_weight = times_.run(function.times);
   for (const auto& other : functions_.all()) {
     if (other.get() == &function || other->queue.empty()) continue;
-    const double weight = weight_to_load(*other, now);
-    if (weight >= least) continue;
-    best = other.get();
-    least = weight;
+    const double weight = load_weight(*other, now);
+    if (weight >= lowest_weight) continue;
+    lightest = other.get();
+    lowest_weight = weight;
   }
-  if (best != nullptr) start_load(*best, worker, now);
-  consider(function, now);
+  if (lightest != nullptr) start_load(*lightest, worker, now);
+  schedule(function, now);
 }
 
-Scheduler::Blocked Scheduler::send_queued(Function& function, Millis now) {
+Scheduler::StopReason Scheduler::send_queued(Function& function, Millis now) {
   while (Request* next = admission_.next_in_queue(function, now)) {
     Instance* instance = selector_.warm_instance(function, *next, now);
-    if (instance == nullptr) return Blocked::no_instance;
+    if (instance == nullptr) return StopReason::no_instance;
     if (!lease_.is_confirmed(instance->worker, now)) {
       lease_.ask(instance->worker, now);
-      return Blocked::worker_unconfirmed;
+      return StopReason::worker_unconfirmed;
     }
-    if (renewal_.delays(*next, requests_.queued(), now)) return Blocked::delayed;
+    if (renewal_.delays(*next, requests_.queued(), now)) return StopReason::delayed;
     send(*next, *instance, now);
   }
-  return Blocked::queue_is_empty;
+  return StopReason::queue_is_empty;
 }
 
 void Scheduler::start_load(Function& function, WorkerIndex worker, Millis now) {
@@ -108,7 +108,7 @@
   Request& next = *admission_.next_in_queue(function, now);
   const bool may_order =
       settings_.load_orders && !renewal_.needs_load_budget() && order_budget_.allows_order(now);
-  if (loads_by_sending(function, next, may_order)) {
+  if (should_load_by_sending(function, next, may_order)) {
     if (!retries_.may_send(next, worker, now)) return;
     instance.loaded = 1;
     send(next, instance, now);
@@ -121,15 +121,15 @@
 /// Whether the load begins with the request itself, for which the worker loads the function. With many
 /// invokers the replica is most likely warm, since each sees a sliver of the requests; with few, sends would
 /// be loads past the window of the order budget.
-bool Scheduler::loads_by_sending(const Function& function, const Request& next, bool may_order) const {
+bool Scheduler::should_load_by_sending(const Function& function, const Request& next, bool may_order) const {
   if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.missed;
   return has_many_invokers(settings_) || !may_order;
 }
 
 void Scheduler::order_load(Function& function, Instance& instance, Millis now) {
   const bool warm = functions_.is_warm(instance, now);
-  const int wanted = warm ? std::min(instance.loaded + 1, kMostInstancesAtWorker) : 1;
-  actions_.emit(action::Load{workers_[instance.worker].worker, function.id, wanted});
+  const int target_instances = warm ? std::min(instance.loaded + 1, kMostInstancesAtWorker) : 1;
+  actions_.emit(action::Load{workers_[instance.worker].worker, function.id, target_instances});
   order_budget_.order_sent(now);
   functions_.begin_load(instance, now);
 }
@@ -140,7 +140,7 @@
   actions_.emit(action::Send{request.id, workers_[worker].worker, request.deadline - now});
   Attempt& attempt = requests_.start_attempt(request, worker, now);
   attempt.confirmed = instance.confirmed;
-  attempt.alone = instance.in_flight == 0;
+  attempt.only_in_flight = instance.in_flight == 0;
   workers_.attempt_started(worker, attempt.confirmed, now);
   if (attempt.confirmed) renewal_.attempt_sent(worker, now);
   ++instance.in_flight;
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -24,7 +24,7 @@
 /// goes to the queued function of the lowest weight (equations 9 and 10). V is 0 since workers unload idle
 /// instances by themselves.
 ///
-/// Owned by Policy, which calls consider for a function with news, consider_all at each list and sweep, and
+/// Owned by Policy, which calls consider for a function with news, schedule_all at each list and sweep, and
 /// attempt_ended. consider is O(workers + instances of the function) for each request sent; the other two add
 /// O(functions with a queue x instances).
 class Scheduler {
@@ -35,9 +35,9 @@
             LoadOrderBudget& order_budget, ActionSink& actions);
 
   /// Sends what may be sent of the function's queue; then begins one load if E > 0.
-  void consider(Function& function, Millis now);
+  void schedule(Function& function, Millis now);
   /// The same for all queued functions, the lowest weight first.
-  void consider_all(Millis now);
+  void schedule_all(Millis now);
   /// An attempt of the function ended at the worker (completion handoff).
   void attempt_ended(Function& function, WorkerIndex worker, Millis now);
 
@@ -57,13 +57,13 @@
   ActionSink& actions_;
 
   int usable_slots(const Function& function, Millis now) const;
-  double queued_after_load(const Function& function, int slots) const;
-  double weight_to_load(const Function& function, Millis now) const;
+  double expected_queue_after_load(const Function& function, int slots) const;
+  double load_weight(const Function& function, Millis now) const;
   /// What kept the head of a queue from being sent.
-  enum class Blocked { queue_is_empty, no_instance, worker_unconfirmed, delayed };
-  Blocked send_queued(Function& function, Millis now);
+  enum class StopReason { queue_is_empty, no_instance, worker_unconfirmed, delayed };
+  StopReason send_queued(Function& function, Millis now);
   void start_load(Function& function, WorkerIndex worker, Millis now);
-  bool loads_by_sending(const Function& function, const Request& next, bool may_order) const;
+  bool should_load_by_sending(const Function& function, const Request& next, bool may_order) const;
   void order_load(Function& function, Instance& instance, Millis now);
   void send(Request& request, Instance& instance, Millis now);
 };
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -45,12 +45,12 @@
   parts.settings.classes[0].value = 1;
   parts.settings.classes[1].value = 16;
   parts.settings.value_per_work = true;
-  Function& worthier_function = parts.add_function(2, 1);
-  for (int i = 0; i < 10; ++i) parts.times.record_run(worthier_function.times, 1, 100);
-  Request& worthier = parts.add_request("y", worthier_function);
+  Function& priority_function = parts.add_function(2, 1);
+  for (int i = 0; i < 10; ++i) parts.times.record_run(priority_function.times, 1, 100);
+  Request& priority_request = parts.add_request("y", priority_function);
   slow_down(6);  // a wait of 400 ms; a quarter of the objective is 250 ms
   CHECK_FALSE(parts.admission.is_worth_sending(request, worker, parts.now));
-  CHECK(parts.admission.is_worth_sending(worthier, worker, parts.now));
+  CHECK(parts.admission.is_worth_sending(priority_request, worker, parts.now));
 }
 
 TEST_CASE_METHOD(AdmissionTest, "Admission: next is the first that is still in time", "[admission]") {
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -16,7 +16,7 @@
     Instance& instance = function.instance_at(worker);
     Attempt& attempt = parts.requests.start_attempt(request, worker, parts.now);
     attempt.confirmed = instance.confirmed;
-    attempt.alone = instance.in_flight == 0;
+    attempt.only_in_flight = instance.in_flight == 0;
     parts.workers.attempt_started(worker, attempt.confirmed, parts.now);
     ++instance.in_flight;
     return request;
@@ -81,8 +81,8 @@
   end(send(), Outcome::ok, 100);
   Request& lost = send();
   parts.now += Millis(601);
-  recorder.find_unanswered(parts.now);
-  CHECK(lost.attempts[0].taken_as_lost);
+  recorder.handle_unanswered(parts.now);
+  CHECK(lost.attempts[0].presumed_lost);
   UNSCOPED_INFO("silent, so ejected");
   CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   end(lost, Outcome::timeout, 4000);
@@ -96,7 +96,7 @@
   parts.settings.cancel = true;
   end(send(), Outcome::ok, 100);
   const Request& lost = send();
-  recorder.find_unanswered(parts.now + Millis(601));
+  recorder.handle_unanswered(parts.now + Millis(601));
   const auto cancels = parts.emitted_actions<action::Cancel>();
   REQUIRE(cancels.size() == 1U);
   CHECK(cancels[0].id == lost.id);
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -9,14 +9,14 @@
 
 std::string id(const char* stem, int n) { return stem + std::to_string(n); }
 
-std::vector<WorkerEntry> fleet() {
+std::vector<WorkerEntry> forty_workers() {
   std::vector<WorkerEntry> workers;
   for (int i = 0; i < 40; ++i) workers.push_back(entry(id("w", i)));
   return workers;
 }
 
 // One of many invokers; a load takes longer than any latency objective.
-Settings large_tier_settings() {
+Settings many_invokers_settings() {
   Settings s = settings();
   s.invokers = 100;
   s.max_attempts = 50;
@@ -24,7 +24,7 @@
   return s;
 }
 
-// An invoker that has function 1 warm at home(), with R = 100 ms.
+// An invoker that has function 1 warm at first_worker(), with R = 100 ms.
 Invoker warm_invoker(Settings s = settings(), int instances = 1) {
   Invoker r(std::move(s));
   r.list({entry("a"), entry("b"), entry("c")});
@@ -33,7 +33,7 @@
   if (!r.sends.empty()) r.answer(r.sends.back(), Outcome::ok);
   return r;
 }
-std::string home(const Invoker& r) { return r.sends.at(0).worker; }
+std::string first_worker(const Invoker& r) { return r.sends.at(0).worker; }
 
 // Failure found: with many invokers each loaded its own instances anywhere. Now ids alone decide the
 // placement.
@@ -257,8 +257,8 @@
 // Failure found (h6ac7e3): calls that met full workers overflowed to further ones without end; their loads
 // evicted instances for good.
 TEST_CASE("placement: calls do not overflow to the whole fleet", "[policy][placement]") {
-  Invoker r(large_tier_settings());
-  r.list(fleet());
+  Invoker r(many_invokers_settings());
+  r.list(forty_workers());
   std::set<std::string> used;
   std::size_t seen = 0;
   for (int i = 0; i < 900; ++i) {
@@ -278,10 +278,10 @@
 // workers.
 TEST_CASE("placement: a busy invoker counts its share", "[policy][placement]") {
   const auto used = [](double peer_calls) {
-    Settings s = large_tier_settings();
+    Settings s = many_invokers_settings();
     s.peer_messages = true;
     Invoker r(s);
-    r.list(fleet());
+    r.list(forty_workers());
     std::set<std::string> workers;
     std::size_t seen = 0;
     for (int i = 0; i < 400; ++i) {
@@ -308,7 +308,7 @@
   Settings s = settings();
   s.max_attempts = 5;
   Invoker r = warm_invoker(s);
-  const std::string bad = home(r);
+  const std::string bad = first_worker(r);
   std::size_t last = 0;
   for (int i = 0; i < 4; ++i) {
     r.request(id("x", i));
@@ -337,10 +337,10 @@
     r.answer(r.sends.back(), Outcome::ok, 100, Warmth::unknown);
     r.advance(50);
   }
-  const auto tally = r.policy.statistics();
-  CHECK_THAT(tally.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
-  CHECK_THAT(tally.at("now.load_ms"), Catch::Matchers::WithinAbs(1500.0, 150));
-  CHECK(tally.at("now.sum_stretch") / tally.at("now.workers") <= 1.2);
+  const auto statistics = r.policy.statistics();
+  CHECK_THAT(statistics.at("now.run_ms"), Catch::Matchers::WithinAbs(100.0, 20));
+  CHECK_THAT(statistics.at("now.load_ms"), Catch::Matchers::WithinAbs(1500.0, 150));
+  CHECK(statistics.at("now.sum_stretch") / statistics.at("now.workers") <= 1.2);
   const auto before = r.sends.size();
   r.request("x", 1, "safe");
   CHECK(r.sends.size() == before + 1);
@@ -349,7 +349,7 @@
 // Failure found (inc3048): a quiet invoker's one call at a worker waited for a load; the worker was taken for
 // silent, left out, and the call sent elsewhere to load there too.
 TEST_CASE("outlier: a worker that loads for its only call is not silent", "[policy][outlier]") {
-  Settings s = large_tier_settings();
+  Settings s = many_invokers_settings();
   s.cancel = true;
   s.reports_warmth = false;
   Invoker r(s);
@@ -372,13 +372,13 @@
 // Failure found (day 6): a quiet invoker calls a worker once in seconds, for functions that it has not seen
 // served. It took two errors of known functions to leave a failing worker out, so it hardly ever did.
 TEST_CASE("outlier: one fast error ejects a worker for a class at a quiet invoker", "[policy][outlier]") {
-  Invoker r(large_tier_settings());
-  r.list(fleet());
+  Invoker r(many_invokers_settings());
+  r.list(forty_workers());
   std::vector<std::uint64_t> at_bad;  // functions with the placement of function 1
   std::string bad;
   for (std::uint64_t f = 1; at_bad.size() < 4; ++f) {
-    Invoker probe(large_tier_settings());
-    probe.list(fleet());
+    Invoker probe(many_invokers_settings());
+    probe.list(forty_workers());
     probe.request("x", f);
     if (bad.empty()) bad = probe.sends.at(0).worker;
     if (probe.sends.at(0).worker == bad) at_bad.push_back(f);
@@ -407,8 +407,8 @@
 
 // Failure found (inc142): four loads in ten were at a second or third worker, for calls that overflowed.
 TEST_CASE("placement: a call overflows to one further worker", "[policy][placement]") {
-  Invoker r(large_tier_settings());
-  r.list(fleet());
+  Invoker r(many_invokers_settings());
+  r.list(forty_workers());
   std::set<std::string> used;
   r.request("x");
   for (std::size_t seen = 0; seen < r.sends.size(); ++seen) {
@@ -564,7 +564,7 @@
   CHECK(r.loads.size() == 1U);
   r.request("w11");
   REQUIRE(r.loads.size() == 2U);
-  CHECK(r.loads[1].worker != home(r));
+  CHECK(r.loads[1].worker != first_worker(r));
 }
 
 TEST_CASE("scheduler: slots at a worker full of other calls are not counted", "[policy][scheduler]") {
@@ -744,7 +744,7 @@
 TEST_CASE("endpoint list: nothing new goes to a draining or gone worker", "[policy][endpoint-list]") {
   for (const auto state : {WorkerState::draining, WorkerState::gone}) {
     Invoker r = warm_invoker();
-    const std::string out = home(r);
+    const std::string out = first_worker(r);
     r.list({entry(out, state)}, ListKind::delta);
     const auto loads = r.loads.size();
     const auto before = r.sends.size();
@@ -758,7 +758,7 @@
 
 TEST_CASE("endpoint list: a worker missing from a full list is gone", "[policy][endpoint-list]") {
   Invoker r = warm_invoker();
-  const std::string left = home(r) == "b" ? "c" : "b";
+  const std::string left = first_worker(r) == "b" ? "c" : "b";
   const auto loads = r.loads.size();
   r.list({entry(left)});
   r.request("x");
@@ -818,7 +818,7 @@
 
 // Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions
 // are hashed and decide the placement alone.
-std::vector<std::string> played(const std::string& tag) {
+std::vector<std::string> placements_with(const std::string& tag) {
   Settings s = settings();
   for (auto& c : s.classes) c.name = tag + c.name;
   s.kind_memory_mb = {{tag + "k", 10000}};
@@ -854,10 +854,10 @@
   return placements;
 }
 TEST_CASE("names: decide nothing", "[policy][names]") {
-  const auto plain = played("");
+  const auto plain = placements_with("");
   CHECK(plain.size() > 50U);
-  CHECK(plain == played("xyzzy-"));
-  CHECK(plain == played(""));
+  CHECK(plain == placements_with("xyzzy-"));
+  CHECK(plain == placements_with(""));
 }
 
 TEST_CASE("malformed input: breaks no rule", "[policy][malformed-input]") {
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -40,12 +40,12 @@
 
 TEST_CASE_METHOD(RequestTableTest, "RequestTable: an attempt has one outcome", "[request-table]") {
   table.start_attempt(request, 3, parts.now);
-  CHECK(request.has_attempt_out());
+  CHECK(request.has_attempt_in_flight());
   const Attempt* ended = table.end_attempt(request, 0, Outcome::reset);
   REQUIRE(ended != nullptr);
   CHECK(ended->worker == 3U);
   CHECK(ended->state == AttemptState::may_have_run);
-  CHECK_FALSE(request.has_attempt_out());
+  CHECK_FALSE(request.has_attempt_in_flight());
   CHECK(table.end_attempt(request, 0, Outcome::ok) == nullptr);
   CHECK(table.end_attempt(request, 1, Outcome::ok) == nullptr);
   CHECK(table.end_attempt(request, -1, Outcome::ok) == nullptr);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -13,7 +13,7 @@
 
 class RetryPolicyTest {
  protected:
-  Request& attempted(int class_index, Outcome outcome) {
+  Request& request_after_attempt(int class_index, Outcome outcome) {
     Function& function = parts.add_function(static_cast<std::uint64_t>(class_index) + 1, class_index);
     Request& request = parts.add_request("x" + std::to_string(class_index), function);
     parts.requests.dequeue(request);
@@ -28,18 +28,18 @@
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what may have run is repeated as its semantics allow",
                  "[retry-policy]") {
-  CHECK(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
-  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::error), worker, parts.now));
-  CHECK_FALSE(parts.retries.may_send(attempted(kOnce, Outcome::error), worker, parts.now));
+  CHECK(parts.retries.may_send(request_after_attempt(kRepeatable, Outcome::error), worker, parts.now));
+  CHECK(parts.retries.may_send(request_after_attempt(kKeyed, Outcome::error), worker, parts.now));
+  CHECK_FALSE(parts.retries.may_send(request_after_attempt(kOnce, Outcome::error), worker, parts.now));
 }
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what never ran may always go again", "[retry-policy]") {
-  CHECK(parts.retries.may_send(attempted(kOnce, Outcome::full), worker, parts.now));
-  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
+  CHECK(parts.retries.may_send(request_after_attempt(kOnce, Outcome::full), worker, parts.now));
+  CHECK(parts.retries.may_send(request_after_attempt(kKeyed, Outcome::not_sent), worker, parts.now));
 }
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a key holds for its window and scope", "[retry-policy]") {
-  Request& request = attempted(kKeyed, Outcome::error);
+  Request& request = request_after_attempt(kKeyed, Outcome::error);
   const Millis window = parts.settings.classes[kKeyed].key_window;
   CHECK(parts.retries.may_repeat(request, nullptr, parts.now + window - parts.settings.tick));
   CHECK_FALSE(parts.retries.may_repeat(request, nullptr, parts.now + window));
@@ -55,12 +55,12 @@
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: attempts are limited and those not sent count for nothing",
                  "[retry-policy]") {
   parts.settings.max_attempts = 1;
-  CHECK_FALSE(parts.retries.may_send(attempted(kRepeatable, Outcome::error), worker, parts.now));
-  CHECK(parts.retries.may_send(attempted(kKeyed, Outcome::not_sent), worker, parts.now));
+  CHECK_FALSE(parts.retries.may_send(request_after_attempt(kRepeatable, Outcome::error), worker, parts.now));
+  CHECK(parts.retries.may_send(request_after_attempt(kKeyed, Outcome::not_sent), worker, parts.now));
 }
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a retry is queued at the front", "[retry-policy]") {
-  Request& request = attempted(kRepeatable, Outcome::error);
+  Request& request = request_after_attempt(kRepeatable, Outcome::error);
   Request& other = parts.add_request("y", *request.function);
   parts.retries.retry_or_give_up(request, parts.now);
   CHECK(request.function->queue == (std::deque<std::uint64_t>{request.serial, other.serial}));
@@ -68,8 +68,8 @@
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: giving up refuses what may run again and fails the rest",
                  "[retry-policy]") {
-  parts.retries.give_up(attempted(kRepeatable, Outcome::error), parts.now);
-  parts.retries.give_up(attempted(kOnce, Outcome::error), parts.now);
+  parts.retries.give_up(request_after_attempt(kRepeatable, Outcome::error), parts.now);
+  parts.retries.give_up(request_after_attempt(kOnce, Outcome::error), parts.now);
   CHECK(parts.emitted_actions<action::Refuse>().size() == 1U);
   CHECK(parts.emitted_actions<action::Fail>().size() == 1U);
   CHECK(parts.retries.given_up_after_attempt() == 2);
@@ -78,14 +78,14 @@
 
 TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a client's retry has the objective of its first attempt",
                  "[retry-policy]") {
-  const auto left = [&](double time_left) {
+  const auto objective_in = [&](double time_left) {
     return (parts.retries.objective_at(kRepeatable, Millis(time_left), parts.now) - parts.now).count();
   };
-  CHECK(left(4000) == 1000);
-  CHECK(left(4000) == 1000);
+  CHECK(objective_in(4000) == 1000);
+  CHECK(objective_in(4000) == 1000);
   UNSCOPED_INFO("its first attempt was 500 ms ago");
-  CHECK(left(3500) == 500);
-  CHECK(left(4000) == 1000);
+  CHECK(objective_in(3500) == 500);
+  CHECK(objective_in(4000) == 1000);
 }
 
 }  // namespace
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -45,7 +45,7 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler: a request takes a free slot of a warm instance", "[scheduler]") {
   Function& function = loaded_function(1);
   request(function);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   CHECK(sends() == 1U);
   CHECK(function.find_instance(worker)->in_flight == 1);
   CHECK(parts.workers[worker].in_flight == 1);
@@ -58,11 +58,11 @@
   parts.add_worker(entry("b"));
   Function& function = loaded_function(1);
   request(function, 4);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   CHECK(sends() == 1U);
   CHECK(loads() == 0U);
   request(function);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   CHECK(sends() == 1U);
   CHECK(loads() == 1U);
   CHECK(parts.functions.loads_in_flight() == 1);
@@ -71,10 +71,10 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler: with nothing loaded the first request loads", "[scheduler]") {
   Function& function = parts.add_function(1);
   request(function);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   CHECK(loads() == 1U);
   request(function);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   UNSCOPED_INFO("one is under way");
   CHECK(loads() == 1U);
 }
@@ -100,7 +100,7 @@
   parts.settings.load_window = Millis(5000);
   Function& function = parts.add_function(1);
   request(function);
-  scheduler.consider(function, parts.now);
+  scheduler.schedule(function, parts.now);
   CHECK(loads() == 0U);
   CHECK(sends() == 1U);
 }
