--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,8 +6,8 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr double kMinLateValue = 0.5;     // a late answer that keeps this part of its worth is waited for
-constexpr double kToleratedSlowdown = 2;  // a slowdown up to this is chance: service times vary
+constexpr double kMinLateValue = 0.5;     // fraction of its value from which on a late answer is worth a wait
+constexpr double kToleratedSlowdown = 2;  // service times vary: a slowdown up to this may be chance
 constexpr double kMinPriorityWeight = 1e-9;
 
 }  // namespace
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,4 +1,4 @@
-// Which requests are worth queueing and sending: latency objective and priority weight.
+/// Decides which requests are worth queueing and sending, by latency objective and priority weight.
 #pragma once
 
 #include "policy/common.h"
@@ -8,28 +8,29 @@
 
 namespace pathstack::policy {
 
-/// Judges requests by what an answer is still worth.
+/// Decides by the value that an answer to a request still has.
 ///
-/// Calls past their latency objective are worth little, and would make those behind them late. The wait that
-/// a request accepts at a slow worker falls with the priority weight of its class, so that in an overload the
-/// worthier classes go first.
+/// Requests past their latency objective have little value and would delay those queued behind them. The
+/// longest wait that a request accepts at a slow worker decreases with the priority weight of its class, so
+/// that in an overload the classes of higher value are served first.
 ///
-/// Owned by Policy; called by Scheduler, WorkerSelector, RetryPolicy and LoadShedder. O(classes) at most, but
-/// for next_in_queue: O(queue of the function x log requests).
+/// Owned by Engine; called by Scheduler, WorkerSelector, RetryPolicy and LoadShedder. All calls are
+/// O(classes) at most, except next_in_queue, which is O(queue of the function x log requests).
 class Admission {
  public:
   Admission(const Settings& settings, RequestTable& requests, const ServiceTimes& times,
             const ConcurrencyLimit& limits);
 
-  /// An unloaded run from now on would end within the latency objective.
+  /// True if a run that starts at `now` on an idle worker would end within the latency objective.
   bool can_meet_objective(const Request& request, Millis now) const;
-  /// An answer is worth waiting for: in time, or late in a class where late answers keep most of their worth.
+  /// True if the request can meet its latency objective, or if late answers of its class keep at least half
+  /// of their value.
   bool is_worth_queueing(const Request& request, Millis now) const;
-  /// The wait that the worker's slowdown implies is one that the request accepts.
+  /// True if the request accepts the wait that the slowdown of the worker implies.
   bool is_worth_sending(const Request& request, WorkerIndex worker, Millis now) const;
 
-  /// The first request that can still meet its objective and need not wait after a local fault, else the
-  /// first; null if none is queued.
+  /// The first queued request that can still meet its latency objective and is not in backoff after a local
+  /// fault; if there is none, the first queued request; null if the queue is empty.
   Request* next_in_queue(const Function& function, Millis now) const;
 
  private:
@@ -39,7 +40,8 @@
   const ConcurrencyLimit& limits_;
   const double shortest_objective_;
 
-  /// Priority weight for each millisecond of work.
+  /// Value of an answer per millisecond of work. Settings with value_per_work state it directly; otherwise
+  /// the value of the class is divided by its run time.
   double priority_weight(int class_index) const;
   double highest_priority_weight() const;
 };
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -7,8 +7,9 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kListRetryDelay{1000};   // after a list that failed
-constexpr std::uint64_t kSweepTimer = 0;  // token; others are serial numbers of requests, from 1 on
+constexpr Millis kListRetryDelay{1000};  // after a worker list could not be fetched
+// Token of the sweep timer. Tokens of deadline timers are serial numbers of requests, which start at 1.
+constexpr std::uint64_t kSweepTimer = 0;
 
 Settings with_valid_invoker_count(Settings settings) {
   settings.invokers = std::max(settings.invokers, 1);
@@ -135,8 +136,8 @@
   if (request != nullptr) request->streaming = true;
 }
 
-/// Cancels what is out: impatient clients leave and come back while workers still serve what nobody waits
-/// for.
+// Cancels the attempts in flight: clients with short timeouts leave and retry, and workers would still serve
+// their abandoned attempts.
 void Engine::on(const event::RequestAbandoned& event, Millis) {
   Request* request = requests_.find(event.id);
   if (request == nullptr) return;
@@ -161,7 +162,7 @@
   const Worker* worker = workers_.find(probe.worker);
   if (worker == nullptr) return;
   outcomes_.record_probe(worker->index, probe, now);
-  // What waits for the answer goes there or elsewhere now.
+  // Requests that waited for this probe can now be sent to its worker or to another one.
   if (!lease_.is_list_current(now)) scheduler_.schedule_all(now);
 }
 
--- a/src/policy/engine.h
+++ b/src/policy/engine.h
@@ -1,4 +1,4 @@
-// Events in, actions out: takes each event to the parts that it concerns.
+/// Dispatches each event to the components of the decision module that it concerns.
 #pragma once
 
 #include <map>
@@ -27,11 +27,11 @@
 
 namespace pathstack::policy {
 
-/// The parts of the decision module from one Start event to the next, wired together. It decides nothing
-/// itself.
+/// Owns the components of the decision module from one Start event to the next, and connects them. The
+/// decisions are made in the components.
 ///
-/// Owned by Policy, which keeps `now` from running backwards. Not thread-safe. Neither copied nor moved: the
-/// parts hold references to each other.
+/// Owned by Policy, which ensures that `now` never decreases. Not thread-safe. Neither copyable nor movable,
+/// since the components hold references to each other.
 class Engine {
  public:
   Engine(const Settings& settings, ActionSink& actions);
@@ -39,8 +39,8 @@
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
-  void on(const event::Start&, Millis) {}  // Policy makes a new engine
-  void on(const event::Stop&, Millis) {}   // Policy drops the engine
+  void on(const event::Start&, Millis) {}  // Policy creates a new engine
+  void on(const event::Stop&, Millis) {}   // Policy destroys the engine
   void on(const event::WorkerList& list, Millis now);
   void on(const event::ListLease& lease, Millis now);
   void on(const event::ConnectionsLost& lost, Millis now);
@@ -53,7 +53,7 @@
   void on(const event::LoadEnded& order, Millis now);
   void on(const event::PeerMessage& event, Millis now);
 
-  /// Adds the counters and present figures that operators read in the log, by name.
+  /// Adds the counters and current values that operators read in the log, by name. O(workers + functions).
   void add_counters(std::map<std::string, double>& counters, Millis now) const;
 
  private:
@@ -78,7 +78,7 @@
   Scheduler scheduler_;
   LoadShedder shedder_;
   OutcomeRecorder outcomes_;
-  Millis list_retry_at_{kNever};  // kNever: no failed list to ask for again
+  Millis list_retry_at_{kNever};  // when to request a failed list again; kNever: none has failed
 
   int class_index_of(const std::string& name) const;
   void reset_worker(WorkerIndex worker);
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -1,4 +1,4 @@
-// Ends queued requests whose answer would come too late.
+/// Load shedding: gives up queued requests whose answer would come too late.
 #pragma once
 
 #include <array>
@@ -14,24 +14,25 @@
 
 namespace pathstack::policy {
 
-/// What kept a request that was shed from a worker believed to have its function loaded.
+/// Why a request that was shed could not be sent to a worker that is believed to have its function loaded.
 enum class ShedReason {
-  no_instance,       // there was none
+  no_instance,       // no worker has the function loaded
   slots_in_use,      // all concurrency slots of the instance were in use
-  slowed_down,       // the wait at the worker was longer than the request accepts
-  worker_unhealthy,  // ejected, suspect or silent
-  at_own_limit,      // this invoker has as much in flight there as it may
-  worker_full,       // it refused an attempt a moment ago
+  slowed_down,       // the wait at the worker exceeded what the request accepts
+  worker_unhealthy,  // ejected, suspected to be down, or silent
+  at_own_limit,      // this invoker reached its concurrency limit for the worker
+  worker_full,       // the worker recently rejected an attempt as full
 };
 inline constexpr std::size_t kShedReasonCount = 6;
 
-/// Name of the reason in the log, which operators read.
+/// Name of the reason in the counters that operators read.
 const char* log_name(ShedReason reason);
 
-/// Load shedding: requests past their objective end at once, unless a load of their function is under way.
-/// They would make those behind them late.
+/// Gives up queued requests as soon as they cannot meet their latency objective any more, since they would
+/// delay the requests behind them. While their function is being loaded, and in classes where late answers
+/// keep most of their value, requests stay queued until a run no longer fits before their deadline.
 ///
-/// Owned by Policy, called at each sweep. O(queued requests x instances of their function).
+/// Owned by Engine, called at each sweep. O(queued requests x instances of their function).
 class LoadShedder {
  public:
   LoadShedder(const FunctionTable& functions, RequestTable& requests, const ServiceTimes& times,
@@ -39,6 +40,7 @@
               RetryPolicy& retries);
 
   void shed(Function& function, Millis now);
+  /// Number of requests shed for the reason.
   double count(ShedReason reason) const { return counts_[static_cast<std::size_t>(reason)]; }
 
  private:
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -5,15 +5,17 @@
 namespace pathstack::policy {
 namespace {
 
-/// So many usual runs, slowdown included, at an instance known to be loaded are a load.
+// An answer that took more than this many typical runs, slowdown included, is taken to include a load if the
+// instance was known to be loaded.
 constexpr double kLoadThresholdRuns = 4;
-/// The same at an instance that is not known to be loaded.
+// An answer that took more than this many typical runs is taken to include a load if the instance was not
+// known to be loaded.
 constexpr double kLoadThresholdRunsUnconfirmed = 2.5;
 constexpr double kMinLoadMs = 1;      // milliseconds
-constexpr Millis kNearDeadline{100};  // of the time that a client has left
-constexpr int kSendsPerBackoff = 3;   // so often a request is sent elsewhere at once, then after the backoff
+constexpr Millis kNearDeadline{100};  // time until the deadline in which a moot answer is plausible
+constexpr int kSendsPerBackoff = 3;   // failed sends of a request before each backoff
 
-/// The outcome says that bytes of the worker arrived, or that it refused a connection.
+// True if the outcome shows that data from the worker arrived, or that it refused a connection.
 bool proves_contact(Outcome outcome) {
   switch (outcome) {
     case Outcome::timeout:
@@ -66,8 +68,9 @@
   apply_outcome(request, attempt, instance, answer, now);
 }
 
-/// A fault of this machine kept the attempt from leaving: it changes no belief and counts as no attempt. Its
-/// request may go elsewhere at once, but not without end: the same fault is likely to meet it there.
+// Handles an attempt that a local fault prevented from being sent: it reveals nothing about the worker and
+// does not count as an attempt. The request may be sent elsewhere at once, but only a few times before it
+// backs off, since the same fault is likely there too.
 void OutcomeRecorder::undo_unsent_attempt(Request& request, const Attempt& attempt, Instance& instance,
                                           Millis now) {
   slow_start_.refund(attempt.worker, attempt.warm_up_cost);
@@ -114,7 +117,8 @@
   slow_start_.record_served(times_.work(request.class_index), now);
 }
 
-/// An answer that waited for a load would inflate R and the slowdown if it were taken for a run.
+// Records the elapsed time as a run, as a load, or not at all. An answer that waited for a load would inflate
+// R, the run time, and the slowdown if it were recorded as a run.
 void OutcomeRecorder::record_times(const Request& request, const Attempt& attempt,
                                    const event::AttemptEnded& answer, Millis now) {
   FunctionTimes& function = request.function->times;
@@ -140,8 +144,8 @@
   return elapsed > work * (kLoadThresholdRuns * slowdown);
 }
 
-// An answer that ends nothing and explains nothing. Of a request whose time is nearly over a worker may well
-// say that it is moot.
+// Handles an answer that neither finishes the request nor explains why it was not served. Close to the
+// deadline of the request, `moot` is a legitimate answer and no failure.
 void OutcomeRecorder::record_useless_answer(Request& request, const Attempt& attempt,
                                             const event::AttemptEnded& answer, Millis now) {
   request.avoid(attempt.worker);
@@ -151,13 +155,15 @@
 
 void OutcomeRecorder::record_failure(const Request& request, const Attempt& attempt,
                                      const event::AttemptEnded& answer, Millis now) {
-  if (attempt.presumed_lost) return;  // it has counted already
-  // Requests for functions that no worker knows fail wherever they go: one of them counts, at most.
+  if (attempt.presumed_lost) return;  // was counted as a failure when it was presumed lost
+  // Requests for functions that no worker knows fail everywhere, so at most one failure of each such function
+  // counts.
   Function& function = *request.function;
   if (!function.times.run.known() && function.blamed) return;
   function.blamed = true;
   outliers_.record_failure(attempt.worker, request.class_index, now);
-  // With many invokers each sends to a worker once in seconds: one error faster than a run is enough.
+  // With many invokers, each one sends to a worker only once in several seconds, so a single error that is
+  // faster than a run suffices to eject the class there.
   const bool fast = std::max(answer.elapsed.count(), 0.0) < times_.work(request.class_index);
   const bool answered =
       answer.outcome == Outcome::error || answer.outcome == Outcome::moot || answer.outcome == Outcome::miss;
@@ -181,7 +187,8 @@
     if (order.outcome == Outcome::ok) {
       times_.record_load(function.times, std::max(order.elapsed.count(), kMinLoadMs));
     }
-    // Orders that fail at once would else go out at every sweep, to one worker after the other.
+    // Without this delay, orders that fail immediately would be sent at every sweep, to one worker after
+    // another.
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
     if (order.instances > 0) function.missed = false;
   }
@@ -201,7 +208,7 @@
 }
 
 void OutcomeRecorder::record_probe(WorkerIndex worker, const event::ProbeEnded& probe, Millis now) {
-  // A worker that drains says so: it runs, and is no outlier.
+  // A worker that answers that it drains is running and is not an outlier.
   const MembershipLease::Word word = lease_.probe_ended(worker, probe, now);
   if (word == MembershipLease::Word::not_well) return note_alive(worker, now);
   if (word == MembershipLease::Word::well_again) handle_new_process(worker, now);
@@ -217,7 +224,8 @@
   handle_new_process(worker, now);
 }
 
-// The list would tell of a restart, which counts as told though it cannot be received.
+// While the list is not current, a restart that the list would have announced counts as announced, although
+// this invoker cannot receive it; so the worker is treated as restarted.
 void OutcomeRecorder::handle_new_process(WorkerIndex worker, Millis now) {
   functions_.forget_instances(worker);
   slow_start_.returned(worker, now);
@@ -235,7 +243,7 @@
 
 bool OutcomeRecorder::is_overdue(const Request& request, const Attempt& attempt, Millis now) const {
   const FunctionTimes& function = request.function->times;
-  // An instance that is only assumed may be loading still: requests there are slow, not lost.
+  // An instance that is only assumed to be loaded may still be loading; requests there are slow, not lost.
   const Millis load = attempt.confirmed ? Millis(0) : times_.load_timeout(times_.load(function));
   const double slowdown = std::max(1.0, limits_.slowdown(attempt.worker, now));
   const Millis run = times_.run_timeout(times_.unloaded_run(function) * slowdown);
--- a/src/policy/outcome_recorder.h
+++ b/src/policy/outcome_recorder.h
@@ -1,4 +1,4 @@
-// What outcomes of attempts, orders and probes teach, and attempts that have none for too long.
+/// Records the outcomes of attempts, load orders and probes, and handles attempts that stay unanswered.
 #pragma once
 
 #include "policy/common.h"
@@ -16,10 +16,10 @@
 
 namespace pathstack::policy {
 
-/// Passes what an outcome says to the parts that keep it: times, instances, slowdown, health, budgets. It
-/// gives no answers and starts nothing.
+/// Passes what an outcome reveals to the components that store it: service times, instances, slowdown, health
+/// and budgets. Gives no final answers and starts no attempts.
 ///
-/// Owned by Policy. record_attempt and record_order are O(instances of the function), handle_unanswered is
+/// Owned by Engine. record_attempt and record_order are O(instances of the function), handle_unanswered is
 /// O(requests).
 class OutcomeRecorder {
  public:
@@ -29,20 +29,21 @@
                   ConcurrencyLimit& limits, LoadOrderBudget& order_budget, const RetryPolicy& retries,
                   ActionSink& actions);
 
-  /// `attempt` of `request` has ended with the answer.
+  /// `attempt` of `request` has ended with `answer`.
   void record_attempt(Request& request, const Attempt& attempt, const event::AttemptEnded& answer,
                       Millis now);
   void record_order(Function& function, WorkerIndex worker, const event::LoadEnded& order, Millis now);
   void record_probe(WorkerIndex worker, const event::ProbeEnded& probe, Millis now);
 
-  /// The worker has closed the last connection to it. While the list is not current this counts as a restart.
+  /// The worker has closed the last connection that this invoker had to it. Counts as a restart while the
+  /// worker list is not current; no effect otherwise.
   void record_connections_lost(WorkerIndex worker, Millis now);
 
-  /// The worker answers: it runs, and warms up if it was down.
+  /// The worker has answered, so its process runs; if it was down until now, its warm-up starts.
   void note_alive(WorkerIndex worker, Millis now);
 
-  /// Counts attempts out for far too long as failures, and cancels them where they may run again: a silent
-  /// worker would let them wait until their deadlines.
+  /// Counts attempts that have been unanswered for too long as failures, and cancels them where the request
+  /// may run again: at a silent worker they would wait until their deadlines.
   void handle_unanswered(Millis now);
 
  private:
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Policy itself: an engine from each Start to the next Start or Stop.
+/// Implements Policy: creates an Engine at each Start event and destroys it at the next Start or Stop.
 #include "pathstack/policy.h"
 
 #include <algorithm>
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -1,4 +1,4 @@
-// Requests and their attempts as state machines.
+/// Stores the open requests and the states of their attempts.
 #pragma once
 
 #include <algorithm>
@@ -12,25 +12,27 @@
 
 namespace pathstack::policy {
 
-/// An attempt is out until its outcome comes; the other states are final.
+/// State of an attempt: in flight until its outcome arrives; the other states are final.
 enum class AttemptState {
   in_flight,
-  not_sent,      // a fault of this machine kept it from leaving
-  never_ran,     // its outcome proves that the worker did not run it
-  may_have_run,  // nothing proves that
+  not_sent,      // a local fault prevented the send
+  never_ran,     // its outcome guarantees that the worker did not run it
+  may_have_run,  // its outcome does not guarantee that
 };
 
+/// One attempt to run a request at a worker.
 struct Attempt {
   WorkerIndex worker = 0;
   Millis sent_at{0};
   AttemptState state = AttemptState::in_flight;
-  bool confirmed = false;       // as sent: the instance was known to be loaded
-  bool only_in_flight = false;  // as sent: nothing else of the function was in flight there
-  bool presumed_lost = false;   // out for so long that it counted as a failure
-  double warm_up_cost = 0;      // taken from the budget of a worker that is warming up
+  bool confirmed = false;       // when it was sent, the instance was known to be loaded
+  bool only_in_flight = false;  // when it was sent, the instance had no other attempt in flight
+  bool presumed_lost = false;   // unanswered for so long that it was counted as a failure
+  double warm_up_cost = 0;      // charged to the budget of a worker that is warming up
 };
 
-/// A request lives from its arrival until its final answer, and beyond it while an attempt is out.
+/// One request of a client. It exists from its arrival until its final answer, and until its last attempt has
+/// ended if that is later.
 struct Request {
   std::string id;
   std::uint64_t serial = 0;
@@ -39,13 +41,14 @@
   Millis arrived_at{0};
   Millis deadline{0};
   Millis objective_at{0};                    // an answer after this is late
-  bool done = false;                         // it has its final answer, or its client left
-  bool streaming = false;                    // an answer has begun
-  std::vector<Attempt> attempts;             // one is out at a time; numbers are those of the invoker
-  int attempts_not_sent = 0;                 // of the attempts
-  std::vector<WorkerIndex> avoided_workers;  // workers whose answers say that another attempt there is no use
-  Millis not_before{kNever};                 // faults of this machine let it go again no sooner
+  bool done = false;                         // final answer given, or abandoned by its client
+  bool streaming = false;                    // a streamed answer has started
+  std::vector<Attempt> attempts;             // by attempt number; only the last may be in flight
+  int attempts_not_sent = 0;                 // attempts in state not_sent
+  std::vector<WorkerIndex> avoided_workers;  // workers whose answers show that a retry there is useless
+  Millis not_before{kNever};                 // end of the backoff after local faults
 
+  /// Makes later attempts prefer other workers; see RetryPolicy::allows_worker.
   void avoid(WorkerIndex worker) {
     if (!avoids(worker)) avoided_workers.push_back(worker);
   }
@@ -55,39 +58,44 @@
   bool has_attempt_in_flight() const {
     return !attempts.empty() && attempts.back().state == AttemptState::in_flight;
   }
-  /// Attempts that count against the limit of the settings.
+  /// Number of attempts that count against max_attempts of the settings.
   int attempts_sent() const { return static_cast<int>(attempts.size()) - attempts_not_sent; }
 };
 
 enum class QueueEnd { front, back };
 
-/// Owns all open requests, and their places in the queues of their functions.
+/// Owns all open requests and maintains their positions in the queues of their functions.
 ///
-/// Owned by Policy. Serial numbers rise with each arrival and are the tokens of the deadline timers. A
-/// request stays at its address until it is finished. Look-ups are O(1) by id and O(log requests) by serial;
-/// queue operations are O(queue of the function).
+/// Owned by Engine. Serial numbers increase with each arrival and are the tokens of the deadline timers. The
+/// address of a request is stable until the request is destroyed. A lookup by serial number is O(log
+/// requests), a lookup by id adds one hash lookup, and queue operations are O(queue of the function).
 class RequestTable {
  public:
-  /// `id` must not be open.
+  /// Adds a request; `id` must not belong to an open one.
   Request& create(const std::string& id, int class_index, Function& function);
   bool contains(const std::string& id) const { return by_id_.count(id) != 0; }
+  /// The open request with this id or serial number; null if there is none.
   Request* find(const std::string& id);
   Request* find(std::uint64_t serial);
+  /// The open request with this serial number, which must exist.
   Request& at(std::uint64_t serial) { return requests_.at(serial); }
-  /// In order of arrival.
+  /// All open requests in order of arrival, by serial number.
   std::map<std::uint64_t, Request>& all() { return requests_; }
 
-  /// Requests in the queues of all functions.
+  /// Number of requests in the queues of all functions.
   std::size_t queued() const { return queued_; }
   void enqueue(const Request& request, QueueEnd end);
+  /// Removes the request from the queue of its function; no effect if it is not queued.
   void dequeue(const Request& request);
 
+  /// Adds an attempt in flight.
   Attempt& start_attempt(Request& request, WorkerIndex worker, Millis now);
-  /// The attempt of this number if it is out: it moves to the state that the outcome implies. Else null.
+  /// Moves the attempt with this number to the state that the outcome implies and returns it; null if no such
+  /// attempt is in flight.
   Attempt* end_attempt(Request& request, int number, Outcome outcome);
 
-  /// The request has its final answer. It is destroyed unless an attempt is out; then with that attempt's
-  /// outcome.
+  /// Marks the request as done and destroys it, unless an attempt is in flight; then the caller calls finish
+  /// again when that attempt has ended.
   void finish(Request& request);
 
  private:
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,8 +6,10 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr int kMaxVotes = 20;      // after so many others in a row first attempts have a new time
-constexpr int kVotesPerMatch = 3;  // two of three arrivals may be retries
+// After this many arrivals in a row with other times left, the time left of first attempts is replaced.
+constexpr int kMaxVotes = 20;
+// Votes of an arrival that matches; each other one takes one away, so up to two of three may be retries.
+constexpr int kVotesPerMatch = 3;
 
 }  // namespace
 
@@ -57,7 +59,7 @@
   return request.attempts_sent() < settings_.max_attempts;
 }
 
-// A worker that answers at once, and never serves, would else take all attempts of a request.
+// Without this check a worker that answers at once but serves nothing would use up all attempts of a request.
 bool RetryPolicy::allows_worker(const Request& request, WorkerIndex worker) const {
   if (!request.avoids(worker)) return true;
   const auto is_ready = [&](WorkerIndex index) { return workers_.is_ready(index); };
@@ -96,7 +98,7 @@
 
 Millis RetryPolicy::retry_after(const Request& request, Millis now) {
   if (!settings_.retry_after) return Millis(0);
-  // In time for the objective, and at random lest refused clients return together.
+  // Early enough for the latency objective, and random so that refused clients do not return all at once.
   const Millis left = (request.objective_at - now) / 2;
   if (left.count() <= 0) return settings_.max_retry_after;
   return std::min(left * (0.5 + random_.fraction()), settings_.max_retry_after);
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,4 +1,5 @@
-// What may run again, where and how often; the final answers that are the module's to give.
+/// Decides which requests may run again, where and how often, and gives the final answers that the decision
+/// module itself gives.
 #pragma once
 
 #include <vector>
@@ -14,15 +15,15 @@
 
 namespace pathstack::policy {
 
-/// Attempts and retries of requests.
+/// Permits attempts and retries of requests.
 ///
-/// The platform's rule 2 must hold for each attempt and for each refusal (a refused client comes again): what
-/// may have run is repeated only where the semantics of its class permit, for requests with an idempotency
-/// key only within the key's window and scope. Attempts that a fault of this machine kept from leaving count
-/// for nothing.
+/// Rule 2 of the platform applies to each attempt and to each refusal, since a refused client retries: a
+/// request that may have run is repeated only where the semantics of its class permit, and a request with an
+/// idempotency key only within the time window and the scope of the key. Attempts that a local fault
+/// prevented from being sent are ignored.
 ///
-/// Owned by Policy. allows_worker and may_send are O(attempts of the request), the latter more for a worker
-/// that is warming up; retry is O(workers x attempts).
+/// Owned by Engine. allows_worker and may_send are O(attempts of the request); may_send costs more for a
+/// worker that is warming up (see SlowStart). retry_or_give_up is O(workers x attempts).
 class RetryPolicy {
  public:
   RetryPolicy(const Settings& settings, const WorkerTable& workers, RequestTable& requests,
@@ -30,29 +31,34 @@
               const ConcurrencyLimit& limits, const Admission& admission, Random& random,
               ActionSink& actions);
 
-  /// Whether the request may run again at the worker; without one, whether it may anywhere, so that it may be
-  /// refused.
+  /// True if the request may run again at `worker`. If `worker` is null, true if it may run again at
+  /// whichever worker a refused client reaches, so that it may be refused.
   bool may_repeat(const Request& request, const Worker* worker, Millis now) const;
-  /// False if the request avoids the worker, and another one is ready that it does not avoid.
+  /// False if the request avoids the worker while another worker is ready that it does not avoid.
   bool allows_worker(const Request& request, WorkerIndex worker) const;
-  /// Whether an attempt may go to the worker now. Has_room is a condition of its own.
+  /// True if an attempt may be sent to the worker now. The caller checks ConcurrencyLimit::has_room
+  /// separately.
   bool may_send(const Request& request, WorkerIndex worker, Millis now);
 
-  /// Queues the request again at the front, or gives it its final answer if no retry is worth it or allowed.
+  /// Queues the request again at the front, or gives its final answer if a retry is not allowed or not worth
+  /// it.
   void retry_or_give_up(Request& request, Millis now);
-  /// The final answer: a refusal if the request may run again, else a failure. The request is finished.
+  /// Gives the final answer and finishes the request: a refusal if the request may run again, otherwise a
+  /// failure.
   void give_up(Request& request, Millis now);
+  /// Number of requests given up after at least one attempt.
   double given_up_after_attempt() const { return given_up_after_attempt_; }
 
-  /// Time of the latency objective of a request that arrives now with this time left. A client's own retry is
-  /// distinguished from a first attempt by its time left: what most requests of its class are given is a
-  /// first one's; the objective of a retry began with its first attempt.
+  /// Point in time at which the latency objective ends for a request that arrives at `now` with `time_left`
+  /// until its deadline. A client's own retry is distinguished from its first attempt by `time_left`: the
+  /// value that most requests of the class have is taken for that of first attempts. The latency objective of
+  /// a retry starts at its first attempt.
   Millis objective_at(int class_index, Millis time_left, Millis now);
 
  private:
-  struct FirstAttemptTime {  // of a class
-    Millis time_left{0};     // what first attempts are given
-    int votes = 0;           // arrivals that had this time left, over those that had another
+  struct FirstAttemptTime {  // of one class; found by majority vote
+    Millis time_left{0};     // time left of first attempts
+    int votes = 0;           // weighted arrivals with this time left minus arrivals with another one
   };
 
   const Settings& settings_;
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -29,22 +29,23 @@
   return selector_.usable_slots(function, *admission_.next_in_queue(function, now), now);
 }
 
-// E of equations 6 and 7 with V = 0. An arrival stands in the queue already: N + 1 is the queue's length.
+// E of equations 6 and 7 with V = 0. The arriving request is in the queue already, so N + 1 is the queue
+// length.
 double Scheduler::expected_queue_after_load(const Function& function, int slots) const {
   const auto queued = static_cast<double>(function.queue.size());
   if (slots == 0) return queued;
   const double run = times_.run(function.times);
   double load = times_.load(function.times);
-  // L counts at most as what the latency objective leaves: a slow store inflates L, and would strand what is
-  // queued.
+  // L is capped at the part of the latency objective that a run leaves: slow storage inflates L, and without
+  // the cap no load would start for the queued requests.
   const ClassSettings* settings = class_settings(settings_, function.times.class_index);
   const double objective = settings != nullptr ? settings->latency_objective.count() : 0;
   if (objective > 0) load = std::min(load, std::max(objective - run, run));
-  if (run <= 0 || load <= 0) return 0;  // not sampled: load only if nothing is warm
+  if (run <= 0 || load <= 0) return 0;  // no samples yet: load only if nothing is warm
   return queued - load * slots / run;
 }
 
-// Equation 10.
+// Weight of a queued function, equation 10; infinite if E is not above 0.
 double Scheduler::load_weight(const Function& function, Millis now) const {
   const int slots = usable_slots(function, now);
   const double queued = expected_queue_after_load(function, slots);
@@ -53,7 +54,7 @@
 }
 
 void Scheduler::schedule(Function& function, Millis now) {
-  // A load would be too much where a probe's answer lets the queue go on in a moment.
+  // No load is needed where the answer to a probe, or the end of a short delay, lets the queue continue.
   const StopReason stopped_by = send_queued(function, now);
   if (stopped_by == StopReason::worker_unconfirmed || stopped_by == StopReason::delayed) return;
   if (function.queue.empty() || expected_queue_after_load(function, usable_slots(function, now)) <= 0) return;
@@ -70,8 +71,8 @@
   for (const auto& [weight, function] : by_weight) schedule(*function, now);
 }
 
-// Equation 9 with V = 0 is R: the function of the lowest weight below it gets this worker, else our own next
-// request.
+// Equation 9 with V = 0 is R, the run time of the function whose attempt ended. The function of the lowest
+// weight below R gets the worker; if there is none, the next request of the same function does.
 void Scheduler::attempt_ended(Function& function, WorkerIndex worker, Millis now) {
   if (!selector_.may_load(worker, now)) return schedule(function, now);
   Function* lightest = nullptr;
@@ -118,9 +119,9 @@
   if (may_order && now >= function.no_order_before) order_load(function, instance, now);
 }
 
-/// Whether the load begins with the request itself, for which the worker loads the function. With many
-/// invokers the replica is most likely warm, since each sees a sliver of the requests; with few, sends would
-/// be loads past the window of the order budget.
+// Whether to send the request itself, so that the worker loads the function for it, rather than a load order.
+// With many invokers each one sees only a small part of the requests, so the replica is most likely warm
+// already; with few, requests sent this way would be loads that bypass the load order budget.
 bool Scheduler::should_load_by_sending(const Function& function, const Request& next, bool may_order) const {
   if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.missed;
   return has_many_invokers(settings_) || !may_order;
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -1,4 +1,5 @@
-// ESFF: when to queue, when to load, and who gets a worker when a request ends.
+/// The scheduling algorithm (ESFF): when requests are queued, when functions are loaded, and which function
+/// gets a worker when an attempt ends.
 #pragma once
 
 #include "policy/admission.h"
@@ -16,17 +17,17 @@
 
 namespace pathstack::policy {
 
-/// Enhanced Shortest Function First, after "Efficient Serverless Function Scheduling at the Network Edge";
-/// departures are in docs/design.md.
+/// Enhanced Shortest Function First, after the paper "Efficient Serverless Function Scheduling at the Network
+/// Edge"; docs/design.md lists the differences.
 ///
-/// Requests queue by function. One takes a free slot of a warm instance; else a load begins only if the
-/// expected queue after it, E, is above 0 (equations 6 and 7 with V = 0). When an attempt ends its worker
-/// goes to the queued function of the lowest weight (equations 9 and 10). V is 0 since workers unload idle
-/// instances by themselves.
+/// Requests are queued by function. A request takes a free slot of a warm instance; if there is none, a load
+/// starts only if E, the expected queue length after the load, is above 0 (equations 6 and 7 with V = 0).
+/// When an attempt ends, its worker is assigned to the queued function of the lowest weight (equations 9 and
+/// 10). V, the time of an unload, is 0 since workers unload idle instances by themselves.
 ///
-/// Owned by Policy, which calls consider for a function with news, schedule_all at each list and sweep, and
-/// attempt_ended. consider is O(workers + instances of the function) for each request sent; the other two add
-/// O(functions with a queue x instances).
+/// Owned by Engine, which calls schedule for a function after an event that concerns it, schedule_all at each
+/// worker list and sweep, and attempt_ended. schedule is O(workers + instances of the function) for each
+/// request sent; the other two add O(functions with a queue x instances).
 class Scheduler {
  public:
   Scheduler(const Settings& settings, WorkerTable& workers, MembershipLease& lease, LeaseRenewal& renewal,
@@ -34,11 +35,12 @@
             SlowStart& slow_start, const Admission& admission, RetryPolicy& retries, WorkerSelector& selector,
             LoadOrderBudget& order_budget, ActionSink& actions);
 
-  /// Sends what may be sent of the function's queue; then begins one load if E > 0.
+  /// Sends the queued requests of the function that may be sent, then starts one load if E > 0.
   void schedule(Function& function, Millis now);
-  /// The same for all queued functions, the lowest weight first.
+  /// Calls schedule for every function with queued requests, in ascending order of weight.
   void schedule_all(Millis now);
-  /// An attempt of the function ended at the worker (completion handoff).
+  /// An attempt of the function ended at the worker: assigns the freed capacity to the function of the lowest
+  /// weight.
   void attempt_ended(Function& function, WorkerIndex worker, Millis now);
 
  private:
@@ -59,7 +61,8 @@
   int usable_slots(const Function& function, Millis now) const;
   double expected_queue_after_load(const Function& function, int slots) const;
   double load_weight(const Function& function, Millis now) const;
-  /// What kept the head of a queue from being sent.
+  /// Why send_queued stopped: the queue is empty, no warm instance can take the next request, its worker
+  /// must be confirmed by a probe first, or LeaseRenewal delays the request.
   enum class StopReason { queue_is_empty, no_instance, worker_unconfirmed, delayed };
   StopReason send_queued(Function& function, Millis now);
   void start_load(Function& function, WorkerIndex worker, Millis now);
