--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -22,25 +22,25 @@
   Request& request = parts.add_request("x", function);
 };
 
-TEST_CASE_METHOD(AdmissionTest, "Admission: a request must still have the time of a run", "[admission]") {
+TEST_CASE_METHOD(AdmissionTest, "Admission: a request must have enough time left for a run", "[admission]") {
   CHECK(parts.admission.can_meet_objective(request, request.objective_at - Millis(100)));
   CHECK_FALSE(parts.admission.can_meet_objective(request, request.objective_at - Millis(99)));
   CHECK_FALSE(parts.admission.is_worth_queueing(request, request.objective_at));
 }
 
-TEST_CASE_METHOD(AdmissionTest, "Admission: where late answers keep their worth requests wait",
+TEST_CASE_METHOD(AdmissionTest, "Admission: requests wait in a class where late answers keep their value",
                  "[admission]") {
   parts.settings.classes[0].late_value = 0.5;
   CHECK(parts.admission.is_worth_queueing(request, request.objective_at));
 }
 
-TEST_CASE_METHOD(AdmissionTest, "Admission: a slowdown by chance keeps nothing back", "[admission]") {
+TEST_CASE_METHOD(AdmissionTest, "Admission: a slowdown within normal variation holds no request back",
+                 "[admission]") {
   slow_down(1.9);
   CHECK(parts.admission.is_worth_sending(request, worker, request.objective_at));
 }
 
-TEST_CASE_METHOD(AdmissionTest,
-                 "Admission: the lower the priority weight the shorter the wait that is accepted",
+TEST_CASE_METHOD(AdmissionTest, "Admission: a lower priority weight accepts only a shorter wait",
                  "[admission]") {
   parts.settings.classes[0].value = 1;
   parts.settings.classes[1].value = 16;
@@ -53,7 +53,8 @@
   CHECK(parts.admission.is_worth_sending(priority_request, worker, parts.now));
 }
 
-TEST_CASE_METHOD(AdmissionTest, "Admission: next is the first that is still in time", "[admission]") {
+TEST_CASE_METHOD(AdmissionTest, "Admission: the next request is the first one that can meet its objective",
+                 "[admission]") {
   Request& late = request;
   Request& in_time = parts.add_request("y", function, 8000, 5000);
   CHECK(parts.admission.next_in_queue(function, parts.now) == &late);
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -9,7 +9,7 @@
 
 class OutcomeRecorderTest {
  protected:
-  /// An attempt of a new request is out at the worker.
+  /// Creates a request and an attempt of it in flight at the worker.
   Request& send() {
     Request& request = parts.add_request("r" + std::to_string(++requests), function);
     parts.requests.dequeue(request);
@@ -41,7 +41,7 @@
   int requests = 0;
 };
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an answer of a loaded instance is a run",
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: the answer of a loaded instance is recorded as a run",
                  "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   CHECK(parts.times.run(function.times) == 100);
@@ -51,7 +51,7 @@
   CHECK(parts.workers[worker].in_flight == 0);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an answer that began a load is a load",
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an answer that started a load is recorded as a load",
                  "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::ok, 700, Warmth::started_load);
@@ -59,7 +59,8 @@
   CHECK(parts.times.load(function.times) == 600);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: where answers do not tell a long one shows a load",
+TEST_CASE_METHOD(OutcomeRecorderTest,
+                 "OutcomeRecorder: a long answer implies a load if answers do not report warmth",
                  "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::ok, 401, Warmth::unknown);
@@ -68,7 +69,7 @@
   CHECK(parts.times.run(function.times) > 100);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: a miss tells that nothing is loaded there",
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: a miss shows that the worker has no instance loaded",
                  "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::miss, 1);
@@ -76,14 +77,15 @@
   CHECK(function.missed);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an attempt out for too long counts as a failure once",
+TEST_CASE_METHOD(OutcomeRecorderTest,
+                 "OutcomeRecorder: an attempt unanswered for too long counts as one failure",
                  "[outcome-recorder]") {
   end(send(), Outcome::ok, 100);
   Request& lost = send();
   parts.now += Millis(601);
   recorder.handle_unanswered(parts.now);
   CHECK(lost.attempts[0].presumed_lost);
-  UNSCOPED_INFO("silent, so ejected");
+  UNSCOPED_INFO("the worker is silent, so it is ejected");
   CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
   end(lost, Outcome::timeout, 4000);
   UNSCOPED_INFO("one failure, not two");
@@ -91,7 +93,7 @@
 }
 
 TEST_CASE_METHOD(OutcomeRecorderTest,
-                 "OutcomeRecorder: an unanswered attempt is cancelled where it may run again",
+                 "OutcomeRecorder: an unanswered attempt is cancelled if the request may run again",
                  "[outcome-recorder]") {
   parts.settings.cancel = true;
   end(send(), Outcome::ok, 100);
@@ -102,7 +104,7 @@
   CHECK(cancels[0].id == lost.id);
 }
 
-TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an order that failed is not given again at once",
+TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: a failed load order is not repeated at once",
                  "[outcome-recorder]") {
   parts.functions.begin_load(function.instance_at(worker), parts.now);
   recorder.record_order(function, worker, {"a", 1, Outcome::error, Millis(5), 0}, parts.now);
@@ -112,7 +114,7 @@
 }
 
 TEST_CASE_METHOD(OutcomeRecorderTest,
-                 "OutcomeRecorder: an order that was answered is a load and confirms the instance",
+                 "OutcomeRecorder: an answered load order is recorded as a load and confirms the instance",
                  "[outcome-recorder]") {
   parts.functions.begin_load(function.instance_at(worker), parts.now);
   recorder.record_order(function, worker, {"a", 1, Outcome::ok, Millis(450), 1}, parts.now);
@@ -122,10 +124,10 @@
 }
 
 TEST_CASE_METHOD(OutcomeRecorderTest,
-                 "OutcomeRecorder: an attempt that was not sent leaves its instance known as warm",
+                 "OutcomeRecorder: an attempt that was not sent undoes the assumption of a loaded instance",
                  "[outcome-recorder]") {
   Request& request = send();
-  function.find_instance(worker)->loaded = 1;  // assumed for this attempt alone
+  function.find_instance(worker)->loaded = 1;  // assumed for this attempt only
   end(request, Outcome::not_sent, 0);
   CHECK(function.find_instance(worker)->loaded == 0);
   CHECK(parts.outliers.is_usable(worker, parts.now));
--- a/tests/policy/parts.h
+++ b/tests/policy/parts.h
@@ -1,4 +1,4 @@
-// The parts of the decision module below the scheduler, wired for tests that drive one of them.
+/// Connects the components of the decision module below the scheduler, for tests of a single component.
 #pragma once
 
 #include <string>
@@ -22,10 +22,11 @@
 
 namespace pathstack::policy::test {
 
+/// One object of each component, with the settings and the clock that they share.
 struct Parts {
   explicit Parts(Settings s = test::settings()) : settings(std::move(s)) { actions.write_to(emitted); }
 
-  /// Lists the worker and resets all parts for it.
+  /// Adds the worker by a list delta and resets its data in all components.
   WorkerIndex add_worker(const WorkerEntry& worker) {
     workers.apply({ListKind::delta, {worker}}, now);
     const WorkerIndex index = workers.find(worker.worker)->index;
@@ -38,6 +39,7 @@
     return index;
   }
 
+  /// Adds a function by the arrival of a request for it.
   Function& add_function(std::uint64_t id, int class_index = 0, int slots = 2) {
     event::Request request;
     request.function = id;
@@ -45,7 +47,7 @@
     return functions.request_arrived(request, class_index, now);
   }
 
-  /// A queued request of the function with these times left.
+  /// Adds a queued request of the function; `deadline` and `objective` are in milliseconds from now.
   Request& add_request(const std::string& id, Function& function, double deadline = 4000,
                        double objective = 1000) {
     Request& request = requests.create(id, function.times.class_index, function);
@@ -55,6 +57,7 @@
     return request;
   }
 
+  /// The actions of one type that were emitted so far.
   template <typename AnyAction>
   std::vector<AnyAction> emitted_actions() const {
     std::vector<AnyAction> found;
--- a/tests/policy/policy_harness.h
+++ b/tests/policy/policy_harness.h
@@ -1,4 +1,5 @@
-/// What the tests of the decision module share: settings, and an invoker that checks every action.
+/// Shared helpers of the tests of the decision module: settings, and an invoker that checks and records all
+/// actions.
 #pragma once
 
 #include <map>
@@ -10,6 +11,7 @@
 
 namespace pathstack::policy::test {
 
+/// Settings with one class of each semantics and one worker kind.
 inline Settings settings() {
   Settings s;
   s.zone = "z1";
@@ -43,6 +45,7 @@
   return s;
 }
 
+/// A list entry of a worker of kind `std` in the invoker's zone; `started` is in milliseconds.
 inline WorkerEntry entry(const std::string& id, WorkerState state = WorkerState::ready, double started = 0) {
   WorkerEntry e;
   e.worker = id;
@@ -53,7 +56,7 @@
   return e;
 }
 
-/// Plays events into one Policy and keeps the actions that came out, by kind.
+/// Feeds events to one Policy and records the resulting actions by kind.
 class Invoker {
  public:
   explicit Invoker(Settings s = settings()) { handle(event::Start{std::move(s)}); }
@@ -84,9 +87,11 @@
       }
     }
   }
+  /// Delivers a worker list.
   void list(std::vector<WorkerEntry> entries, ListKind kind = ListKind::full) {
     handle(event::WorkerList{kind, std::move(entries)});
   }
+  /// A client's request arrives; `expires` is its time left in milliseconds.
   void request(const std::string& id, std::uint64_t function = 1, const std::string& cls = "safe",
                double expires = 4000, int slots = 2) {
     event::Request r;
@@ -99,6 +104,7 @@
     r.expires_in = Millis(expires);
     handle(r);
   }
+  /// Ends the latest attempt of the request; `elapsed` is in milliseconds.
   void answer(const action::Send& send, Outcome outcome, double elapsed = 100, Warmth warmth = Warmth::warm) {
     event::AttemptEnded a;
     a.id = send.id;
@@ -111,11 +117,12 @@
     a.elapsed = Millis(elapsed);
     handle(a);
   }
+  /// Ends a load order after 500 ms.
   void loaded(const std::string& worker, std::uint64_t function, int instances,
               Outcome outcome = Outcome::ok) {
     handle(event::LoadEnded{worker, function, outcome, Millis(500), instances});
   }
-  /// Lets time pass and gives each timer when it is due.
+  /// Advances the clock and fires each timer when it is due.
   void advance(double ms) {
     const double until = now.count() + ms;
     while (!timers.empty() && timers.begin()->first <= until) {
@@ -135,7 +142,7 @@
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
   std::vector<std::string> refused, failed, probes;
-  std::vector<Millis> retry_after;  // beside each id in `refused`
+  std::vector<Millis> retry_after;  // one for each id in `refused`
   std::set<std::string> answered;
   std::map<std::string, int> attempts;
   std::multimap<double, std::uint64_t> timers;
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -15,7 +15,7 @@
   return workers;
 }
 
-// One of many invokers; a load takes longer than any latency objective.
+// Settings of one of 100 invokers; a load takes longer than any latency objective.
 Settings many_invokers_settings() {
   Settings s = settings();
   s.invokers = 100;
@@ -24,7 +24,7 @@
   return s;
 }
 
-// An invoker that has function 1 warm at first_worker(), with R = 100 ms.
+// An invoker with function 1 warm at first_worker() and a run time R of 100 ms.
 Invoker warm_invoker(Settings s = settings(), int instances = 1) {
   Invoker r(std::move(s));
   r.list({entry("a"), entry("b"), entry("c")});
@@ -33,10 +33,11 @@
   if (!r.sends.empty()) r.answer(r.sends.back(), Outcome::ok);
   return r;
 }
+// The worker of the first attempt.
 std::string first_worker(const Invoker& r) { return r.sends.at(0).worker; }
 
-// Failure found: with many invokers each loaded its own instances anywhere. Now ids alone decide the
-// placement.
+// Guards against many invokers that each load instances of a function at different workers. Placement depends
+// on ids alone.
 TEST_CASE("placement: invokers agree on the worker of a function", "[policy][placement]") {
   std::set<std::string> chosen;
   for (int rank = 0; rank < 100; ++rank) {
@@ -53,9 +54,9 @@
   CHECK(chosen.size() == 1U);
 }
 
-// Failure found in review: loads at a worker that a full list left out counted as under way, so that calls
-// waited on for them past their latency objectives.
-TEST_CASE("endpoint list: nothing waits for a load at a worker that is gone", "[policy][endpoint-list]") {
+// Guards against loads that stay counted as in progress at a worker that a full list omits: requests waited
+// for them past their latency objectives (found in review).
+TEST_CASE("endpoint list: no request waits for a load at a worker that is gone", "[policy][endpoint-list]") {
   for (const bool full : {false, true}) {
     Invoker r;
     r.list({entry("a")});
@@ -63,14 +64,15 @@
     REQUIRE(r.loads.size() == 1U);
     if (full) r.list({});
     if (!full) r.list({entry("a", WorkerState::gone)}, ListKind::delta);
-    r.advance(1100);  // the latency objective is 1000
+    r.advance(1100);  // the latency objective is 1000 ms
     UNSCOPED_INFO((full ? "full" : "delta"));
     CHECK(r.refused == std::vector<std::string>{"x"});
     CHECK_FALSE(r.final_answer_violated);
   }
 }
 
-// Failure found: with 100 invokers a warming worker's budget was below one call for each, and none was sent.
+// Guards against a warming worker that gets no requests: with 100 invokers its budget was below one request
+// per invoker, and none was sent.
 TEST_CASE("slow start: many invokers take turns at a warming worker", "[policy][slow-start]") {
   double calls = 0;
   for (int rank = 0; rank < 100; ++rank) {
@@ -86,13 +88,14 @@
     }
     calls += static_cast<double>(r.sends.size());
   }
-  // Ten seconds in which a hundredth of a core grows from 0.16 to 0.7 of itself: 2.5 times that at the most.
+  // During ten seconds the share of this invoker, a hundredth of a core, grows from 0.16 to 0.7 of its full
+  // size. At most 2.5 times that work may be sent.
   CHECK(calls >= 10);
   CHECK(calls <= 2.5 * 0.43 * 10000 / 250);
 }
 
-// Failure found (rude+mass, seed 101): with warm workers at little use, a warming one got a tenth of what
-// it bears.
+// Guards against a warming worker that gets a tenth of what it can serve, while the warm workers use little
+// of their cores (found in day rude+mass, seed 101).
 TEST_CASE("slow start: a warming worker gets more where warm ones use little of their cores",
           "[policy][slow-start]") {
   const auto sent_to_warming = [](double use, std::size_t& probes) {
@@ -122,17 +125,17 @@
   };
   std::size_t probes = 0;
   const int at_full_use = sent_to_warming(1, probes);
-  CHECK(probes <= 3U);  // one in 5 s, while calls are kept from a warming worker
+  CHECK(probes <= 3U);  // one in 5 s while requests are held back from a warming worker
   const int at_half_use = sent_to_warming(0.5, probes);
   CHECK(at_half_use >= 1.5 * at_full_use);
   CHECK(at_half_use <= 2.1 * at_full_use);
-  // The least use that is believed is a quarter, and no use at all is a report as good as any.
+  // Core use below a quarter counts as a quarter, and a report of no use at all is valid.
   CHECK(sent_to_warming(0, probes) <= 4.2 * at_full_use);
   CHECK(sent_to_warming(0, probes) >= at_half_use);
 }
 
-// Failure found (L05b3a2): invokers that had not met a restart themselves sent the warming worker their full
-// load.
+// Guards against invokers that did not observe a restart themselves and send the warming worker their full
+// load (found in run L05b3a2).
 TEST_CASE("slow start: a worker that a peer reported down warms up from its return", "[policy][slow-start]") {
   const auto sent_after_return = [](bool reported) {
     Settings s = settings();
@@ -177,8 +180,9 @@
   CHECK(sent_after_return(true) <= 5U);
 }
 
-// Failure found (L05b3a2): calls waited to their deadlines for slots at a worker that rejected them.
-TEST_CASE("scheduler: slots at a full worker keep no calls queued", "[policy][scheduler]") {
+// Guards against requests that wait until their deadlines for slots at a worker that rejects them as full
+// (found in run L05b3a2).
+TEST_CASE("scheduler: slots at a full worker keep no requests queued", "[policy][scheduler]") {
   Settings s = settings();
   s.invokers = 100;
   Invoker r(s);
@@ -193,8 +197,10 @@
   CHECK(r.sends[2].worker != r.sends[1].worker);
 }
 
-// Failure found (L05b3a2): what was given up was answered at the deadline, without a Retry-After.
-TEST_CASE("giving up: is answered at once with a Retry-After within the limit", "[policy][giving-up]") {
+// Guards against final answers that come only at the deadline and without a Retry-After (found in run
+// L05b3a2).
+TEST_CASE("giving up: the final answer comes at once with a Retry-After within the limit",
+          "[policy][giving-up]") {
   Settings s = settings();
   s.retry_after = true;
   s.max_retry_after = Millis(300);
@@ -219,9 +225,9 @@
   CHECK(r.retry_after[0].count() == 0);
 }
 
-TEST_CASE("giving up: a queued call past its latency objective ends at once", "[policy][giving-up]") {
+TEST_CASE("giving up: a queued request past its latency objective ends at once", "[policy][giving-up]") {
   Invoker r;
-  r.list({});  // nothing can serve it
+  r.list({});  // no worker can serve it
   r.request("x");
   r.advance(900);
   CHECK(r.refused.empty());
@@ -229,7 +235,8 @@
   CHECK(r.refused.size() == 1U);
 }
 
-// Failure found (L05b3a2): a client's retry was queued as if its latency objective began anew.
+// Guards against a client's retry that is queued as if its latency objective started again (found in run
+// L05b3a2).
 TEST_CASE("giving up: a retry has the latency objective of the first attempt", "[policy][giving-up]") {
   Invoker r;
   r.list({});
@@ -239,9 +246,10 @@
   CHECK(r.refused == std::vector<std::string>{"later"});
 }
 
-// Failure found (day 3): first attempts are given half of the deadline, a retry all that is left of it; once
-// one was seen, every first attempt was taken for a retry and refused wherever something waited.
-TEST_CASE("giving up: a first attempt is one with the deadline that most have", "[policy][giving-up]") {
+// Guards against first attempts that are mistaken for retries. First attempts are given half of the deadline,
+// a retry all that is left of it; after the first retry, every first attempt was taken for a retry and
+// refused wherever requests were queued (found in day 3).
+TEST_CASE("giving up: a first attempt has the time left that most requests have", "[policy][giving-up]") {
   Invoker r;
   r.list({});
   for (int i = 0; i < 4; ++i) r.request(id("first", i), static_cast<std::uint64_t>(i + 1), "safe", 1900);
@@ -254,9 +262,9 @@
   CHECK(r.refused.size() == 7U);
 }
 
-// Failure found (h6ac7e3): calls that met full workers overflowed to further ones without end; their loads
-// evicted instances for good.
-TEST_CASE("placement: calls do not overflow to the whole fleet", "[policy][placement]") {
+// Guards against requests that overflow from full workers to ever more workers, where their loads evict
+// instances permanently (found in run h6ac7e3).
+TEST_CASE("placement: requests do not overflow to the whole fleet", "[policy][placement]") {
   Invoker r(many_invokers_settings());
   r.list(forty_workers());
   std::set<std::string> used;
@@ -274,9 +282,9 @@
   CHECK(used.size() <= 10U);
 }
 
-// Failure found (h6ac7e3): a busy invoker took itself for the mean one and spread its functions over all
-// workers.
-TEST_CASE("placement: a busy invoker counts its share", "[policy][placement]") {
+// Guards against a busy invoker that assumes an average share of the requests and spreads its functions over
+// all workers (found in run h6ac7e3).
+TEST_CASE("placement: a busy invoker accounts for its share of the requests", "[policy][placement]") {
   const auto used = [](double peer_calls) {
     Settings s = many_invokers_settings();
     s.peer_messages = true;
@@ -293,7 +301,7 @@
       while (seen < r.sends.size()) {
         workers.insert(r.sends[seen].worker);
         const auto send = r.sends[seen++];
-        r.answer(send, i < 200 ? Outcome::ok : Outcome::full);  // then all are full
+        r.answer(send, i < 200 ? Outcome::ok : Outcome::full);  // then all workers are full
       }
       r.advance(20);
     }
@@ -303,8 +311,8 @@
   CHECK(used(2) + 3 <= used(0));
 }
 
-// Failure found: one class unanswered at one worker, while it served the others.
-TEST_CASE("outlier: a class that fails at one worker goes elsewhere", "[policy][outlier]") {
+// Guards against a worker that fails one class while it serves the others.
+TEST_CASE("outlier: a class that fails at one worker is sent to other workers", "[policy][outlier]") {
   Settings s = settings();
   s.max_attempts = 5;
   Invoker r = warm_invoker(s);
@@ -321,9 +329,9 @@
   CHECK(r.sends.back().worker != bad);
 }
 
-// Failure found (inc142): where answers don't tell of loads, those that waited for one counted as runs of 1.5
-// s: workers looked slowed down and warm ones were sent nothing.
-TEST_CASE("concurrency limit: answers that waited for a load are no slowdown",
+// Guards against answers that waited for a load and count as runs of 1.5 s where answers do not report
+// warmth: workers looked slowed down, and warm ones were sent nothing (found in incident inc142).
+TEST_CASE("concurrency limit: answers that waited for a load do not count as slowdown",
           "[policy][concurrency-limit]") {
   Settings s = settings();
   s.invokers = 100;
@@ -346,9 +354,10 @@
   CHECK(r.sends.size() == before + 1);
 }
 
-// Failure found (inc3048): a quiet invoker's one call at a worker waited for a load; the worker was taken for
-// silent, left out, and the call sent elsewhere to load there too.
-TEST_CASE("outlier: a worker that loads for its only call is not silent", "[policy][outlier]") {
+// Guards against a worker that is taken for silent while the only request of a quiet invoker waits there for
+// a load: the worker was excluded, and the request was sent to another one to load there too (found in
+// incident inc3048).
+TEST_CASE("outlier: a worker that loads a function for its only request is not silent", "[policy][outlier]") {
   Settings s = many_invokers_settings();
   s.cancel = true;
   s.reports_warmth = false;
@@ -356,25 +365,26 @@
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("x", 7);
   REQUIRE(r.sends.size() == 1U);
-  r.advance(1400);  // a load takes so long
+  r.advance(1400);  // the duration of a load
   CHECK(r.cancels.empty());
   CHECK(r.sends.size() == 1U);
   CHECK((r.policy.statistics().count("now.unusable") == 0 ? 0 : r.policy.statistics().at("now.unusable")) ==
         0);
   r.answer(r.sends[0], Outcome::ok, 1400, Warmth::unknown);
-  // One that answers nothing, not even where the instance is known to be warm, is left out as before.
+  // A worker that does not answer although its instance is known to be warm is still excluded.
   r.request("y", 7);
   REQUIRE(r.sends.size() == 2U);
   r.advance(1000);
   CHECK(r.cancels.size() == 1U);
 }
 
-// Failure found (day 6): a quiet invoker calls a worker once in seconds, for functions that it has not seen
-// served. It took two errors of known functions to leave a failing worker out, so it hardly ever did.
+// Guards against a failing worker that a quiet invoker hardly ever excludes. Such an invoker sends to a
+// worker once in several seconds, for functions that it has not seen served, and an exclusion needed two
+// errors of known functions (found in day 6).
 TEST_CASE("outlier: one fast error ejects a worker for a class at a quiet invoker", "[policy][outlier]") {
   Invoker r(many_invokers_settings());
   r.list(forty_workers());
-  std::vector<std::uint64_t> at_bad;  // functions with the placement of function 1
+  std::vector<std::uint64_t> at_bad;  // functions with the same placement as function 1
   std::string bad;
   for (std::uint64_t f = 1; at_bad.size() < 4; ++f) {
     Invoker probe(many_invokers_settings());
@@ -390,13 +400,13 @@
   r.advance(3000);
   r.request("b", at_bad[1], "unsafe");
   CHECK(r.sends.back().worker != bad);
-  r.request("c", at_bad[2], "safe");  // the other class may do well there
+  r.request("c", at_bad[2], "safe");  // another class may succeed there
   CHECK(r.sends.back().worker == bad);
   r.answer(r.sends.back(), Outcome::ok, 50);
   r.advance(2000);
-  r.request("d", at_bad[3], "unsafe");  // and a worker is tried again
+  r.request("d", at_bad[3], "unsafe");  // the worker is tried again after a while
   CHECK(r.sends.back().worker == bad);
-  // An error that took as long as a load may be a load that failed: that excludes nobody.
+  // An error that took as long as a load may be a failed load, so it excludes no worker.
   r.request("e", 5000, "keyed");
   const std::string slow = r.sends.back().worker;
   r.answer(r.sends.back(), Outcome::error, 1200);
@@ -405,8 +415,9 @@
   CHECK(r.sends.back().worker == slow);
 }
 
-// Failure found (inc142): four loads in ten were at a second or third worker, for calls that overflowed.
-TEST_CASE("placement: a call overflows to one further worker", "[policy][placement]") {
+// Guards against loads at a second and third worker for requests that overflow: these were four in ten of all
+// loads (found in incident inc142).
+TEST_CASE("placement: a request overflows to one further worker", "[policy][placement]") {
   Invoker r(many_invokers_settings());
   r.list(forty_workers());
   std::set<std::string> used;
@@ -418,9 +429,9 @@
   CHECK(used.size() == 2U);
 }
 
-// Failure found (day 5): a worker that came back was sent half of its usual calls though it has room for more
-// than all.
-TEST_CASE("slow start: a warming worker gets most of its usual calls and no overload",
+// Guards against a returning worker that is sent half of its usual requests although it has room for more
+// than all of them (found in day 5).
+TEST_CASE("slow start: a warming worker gets most of its usual requests and no overload",
           "[policy][slow-start]") {
   Settings s = settings();
   s.invokers = 100;
@@ -431,7 +442,9 @@
   for (int i = 0; i < 10; ++i) workers.push_back(entry(id("w", i)));
   r.list(workers);
   std::size_t seen = 0;
-  std::uint64_t calls = 0;  // each of a function of its own: what has moved elsewhere stays there for a while
+  // Each request is for a function of its own, since a function that moved to another worker stays there for
+  // a while.
+  std::uint64_t calls = 0;
   const auto sent_to = [&](const std::string& worker, int rounds) {
     int sent = 0;
     for (int i = 0; i < rounds; ++i) {
@@ -451,28 +464,29 @@
   r.list({entry("w3", WorkerState::ready, r.now.count())}, ListKind::delta);
   const int warming = sent_to("w3", 300);
   CHECK(warming >= 0.65 * usual);
-  CHECK(warming <= 1.24 * usual);  // its share of a warm worker at first, times the multiple
+  CHECK(warming <= 1.24 * usual);  // its initial share of a warm worker's capacity times the multiple
 }
 
-TEST_CASE("endpoint list: a worker that replaces one long gone is a worker of its own",
+TEST_CASE("endpoint list: a worker that reuses the index of one long gone has none of its state",
           "[policy][endpoint-list]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
-  for (int day = 0; day < 40; ++day) {  // each takes the index of one that went two before
-    const std::string id = "w" + std::to_string(day);
-    r.list({entry(id, WorkerState::ready, day == 0 ? 0 : r.now.count())}, ListKind::delta);
-    if (day > 0) {
-      const std::string before = "w" + std::to_string(day - 1);
+  // Each worker reuses the index of the one that was listed two rounds before.
+  for (int round = 0; round < 40; ++round) {
+    const std::string id = "w" + std::to_string(round);
+    r.list({entry(id, WorkerState::ready, round == 0 ? 0 : r.now.count())}, ListKind::delta);
+    if (round > 0) {
+      const std::string before = "w" + std::to_string(round - 1);
       r.list({entry(before, WorkerState::gone)}, ListKind::delta);
-      // What is still said of those that went changes nothing.
-      r.handle(
-          event::ProbeEnded{"w" + std::to_string(day - 2), Outcome::connect_failed, Millis(1), std::nullopt});
-      r.loaded("w" + std::to_string(day - 2), 1, 3);
+      // Events about workers that are gone have no effect.
+      r.handle(event::ProbeEnded{"w" + std::to_string(round - 2), Outcome::connect_failed, Millis(1),
+                                 std::nullopt});
+      r.loaded("w" + std::to_string(round - 2), 1, 3);
     }
     r.advance(20000);
     const auto sent = r.sends.size();
-    const std::string call = "c" + std::to_string(day);
+    const std::string call = "c" + std::to_string(round);
     r.request(call, 1, "safe", 8000);
     for (int i = 0; i < 100 && r.answered.count(call) == 0; ++i) {
       if (r.sends.size() > sent && r.sends.back().id == call) r.answer(r.sends.back(), Outcome::ok);
@@ -485,7 +499,7 @@
   CHECK_FALSE(r.final_answer_violated);
 }
 
-TEST_CASE("outlier: a function that no worker knows excludes none", "[policy][outlier]") {
+TEST_CASE("outlier: a function that no worker knows excludes no worker", "[policy][outlier]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
@@ -499,7 +513,7 @@
   CHECK(r.sends.size() == before + 1);
 }
 
-TEST_CASE("outlier: a broken connection probes whether the worker runs", "[policy][outlier]") {
+TEST_CASE("outlier: after a broken connection a probe checks whether the worker runs", "[policy][outlier]") {
   for (const bool runs : {true, false}) {
     Settings s = settings();
     s.probes = s.rejects_on_miss = true;
@@ -508,11 +522,11 @@
     r.request("a");
     r.answer(r.sends.at(0), Outcome::ok);
     for (const char* id : {"b", "c"}) r.request(id);
-    r.answer(r.sends.at(1), Outcome::reset);  // both were on one connection
+    r.answer(r.sends.at(1), Outcome::reset);  // both attempts were on one connection
     r.answer(r.sends.at(2), Outcome::reset);
     REQUIRE(r.probes == std::vector<std::string>{"w1"});
-    CHECK(r.sends.size() == 3U);  // nothing goes there until the probe is answered
-    // A probe may meet a further connection that breaks: one says no more than the other.
+    CHECK(r.sends.size() == 3U);  // nothing is sent there until the probe is answered
+    // A probe may use another connection that breaks too, which says no more than the first one did.
     for (const Outcome o : {Outcome::reset, Outcome::connect_failed, runs ? Outcome::ok : Outcome::reset}) {
       r.handle(event::ProbeEnded{"w1", o, Millis(2), std::nullopt});
     }
@@ -520,7 +534,7 @@
     r.advance(50);
     CHECK(r.sends.size() == (runs ? 5U : 3U));
     for (std::size_t i = 3; i < r.sends.size(); ++i) r.answer(r.sends[i], Outcome::ok);
-    for (int i = 0; i < 20; ++i) {  // and it is as warm as before
+    for (int i = 0; i < 20; ++i) {  // the worker is as warm as before
       r.request("d" + std::to_string(i));
       if (runs) r.answer(r.sends.back(), Outcome::ok);
       r.advance(20);
@@ -529,7 +543,8 @@
   }
 }
 
-// Load reports of peers, whatever they hold, change no rule and cost at most a worse choice.
+// Load reports of peers, whatever their content, violate no rule; the worst effect is a worse choice of
+// worker.
 TEST_CASE("gossip: any content is harmless", "[policy][gossip]") {
   Settings s = settings();
   s.peer_messages = true;
@@ -543,7 +558,7 @@
   CHECK(r.sends.back().id == "x");
 }
 
-TEST_CASE("scheduler: loads once when nothing is warm", "[policy][scheduler]") {
+TEST_CASE("scheduler: starts one load if no instance is warm", "[policy][scheduler]") {
   Invoker r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
@@ -554,9 +569,9 @@
   CHECK(r.sends.size() == 2U);
 }
 
-// E = N + 1 - L K / R with K = 2 slots, R = 100 ms and L = min(500, objective - R) = 500 ms (as its order
-// took): L K / R is 10, so ten may wait and the eleventh starts a load.
-TEST_CASE("scheduler: the creation test counts slots", "[policy][scheduler]") {
+// E = N + 1 - L K / R with K = 2 slots, R = 100 ms and L = min(500, objective - R) = 500 ms (the duration
+// of its load order): L K / R is 10, so ten requests may wait and the eleventh starts a load.
+TEST_CASE("scheduler: the decision to load counts concurrency slots", "[policy][scheduler]") {
   Invoker r = warm_invoker();
   r.request("l1");
   r.request("l2");
@@ -567,7 +582,7 @@
   CHECK(r.loads[1].worker != first_worker(r));
 }
 
-TEST_CASE("scheduler: slots at a worker full of other calls are not counted", "[policy][scheduler]") {
+TEST_CASE("scheduler: slots at a worker full of other requests are not counted", "[policy][scheduler]") {
   Invoker r;
   r.list({entry("w1")});
   for (const std::uint64_t function : {1, 2}) {
@@ -580,13 +595,13 @@
   for (int i = 0; i < 20; ++i) r.request("other" + std::to_string(i), 2, "safe", 4000, 16);
   const auto loads = r.loads.size(), sends = r.sends.size();
   r.request("a", 1, "safe", 4000, 16);
-  CHECK(r.sends.size() == sends);  // its instance is where there is no room for a further call
+  CHECK(r.sends.size() == sends);  // the worker of its instance has no room for another request
   REQUIRE(r.loads.size() == loads + 1);
   CHECK(r.loads.back().worker == "w2");
   CHECK(r.loads.back().function == 1U);
 }
 
-TEST_CASE("scheduler: a freed slot takes the head of its queue", "[policy][scheduler]") {
+TEST_CASE("scheduler: a freed slot goes to the head of the queue", "[policy][scheduler]") {
   Invoker r = warm_invoker();
   r.request("l1");
   r.request("l2");
@@ -597,8 +612,8 @@
   CHECK(r.sends[3].id == "w1");
 }
 
-// Failure found: calls rejected as full went out again at once, five attempts a request.
-TEST_CASE("concurrency limit: a full worker is left alone for a while", "[policy][concurrency-limit]") {
+// Guards against requests that are sent again at once after a rejection as full, with five attempts each.
+TEST_CASE("concurrency limit: a full worker gets no attempts for a while", "[policy][concurrency-limit]") {
   Invoker r = warm_invoker();
   r.request("x");
   r.answer(r.sends.back(), Outcome::full);
@@ -609,8 +624,8 @@
   CHECK(r.sends.size() == before + 1);
 }
 
-// Failure found: calls piled on a worker that served them all late.
-TEST_CASE("concurrency limit: a worker that slows down gets fewer calls", "[policy][concurrency-limit]") {
+// Guards against requests that pile up at a worker that serves all of them late.
+TEST_CASE("concurrency limit: a worker that slows down gets fewer requests", "[policy][concurrency-limit]") {
   Invoker r = warm_invoker(settings(), 16);
   for (int i = 0; i < 8; ++i) {
     r.request(id("slow", i));
@@ -622,7 +637,8 @@
   CHECK(r.sends.size() <= before + 4);
 }
 
-// Failure found: impatient clients left and came back while workers still served what nobody waited for.
+// Guards against workers that still serve abandoned attempts while clients with short timeouts leave and
+// retry.
 TEST_CASE("cancellation: the attempt of a client that left is cancelled", "[policy][cancellation]") {
   Settings s = settings();
   s.cancel = true;
@@ -635,7 +651,7 @@
   CHECK(r.answered.count("x") == 0U);
 }
 
-// Failure found: one class failed everywhere, and workers that served the others well were excluded for it.
+// Guards against the exclusion of workers that serve other classes well, for one class that fails everywhere.
 TEST_CASE("outlier: a class that fails everywhere excludes no worker", "[policy][outlier]") {
   Invoker r(settings());
   r.list({entry("a"), entry("b"), entry("c")});
@@ -653,13 +669,13 @@
   CHECK(served == 60);
 }
 
-TEST_CASE("retries: each outcome is followed as its semantics allow", "[policy][retries]") {
+TEST_CASE("retries: what follows an outcome is allowed by the semantics", "[policy][retries]") {
   const Outcome outcome = GENERATE(Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
                                    Outcome::reset, Outcome::cancelled, Outcome::moot, Outcome::miss);
   const std::string cls = GENERATE(as<std::string>{}, "safe", "keyed", "unsafe");
   CAPTURE(static_cast<int>(outcome), cls);
-  const bool unran = outcome == Outcome::full || outcome == Outcome::connect_failed ||
-                     outcome == Outcome::moot || outcome == Outcome::miss;
+  const bool never_ran = outcome == Outcome::full || outcome == Outcome::connect_failed ||
+                         outcome == Outcome::moot || outcome == Outcome::miss;
   Invoker r = warm_invoker();
   r.request("x", 1, cls);
   const auto before = r.sends.size();
@@ -667,7 +683,7 @@
   r.answer(r.sends.back(), outcome);
   r.advance(5000);
   CHECK_FALSE(r.final_answer_violated);
-  if (cls == "unsafe" && !unran) {
+  if (cls == "unsafe" && !never_ran) {
     CHECK(r.sends.size() == before);
     CHECK(r.failed == std::vector<std::string>{"x"});
     CHECK(r.refused.empty());
@@ -711,7 +727,8 @@
   }
 }
 
-// Within its window but past its latency objective it is not sent again; its scope allows the refusal.
+// A keyed request within its window but past its latency objective is not sent again; the scope of its key
+// allows a refusal.
 TEST_CASE("idempotency: a keyed request past its objective is refused", "[policy][idempotency]") {
   Invoker r = warm_invoker();
   r.request("x", 1, "keyed");
@@ -723,7 +740,7 @@
   CHECK(r.failed.empty());
 }
 
-TEST_CASE("idempotency: a keyed request stays in its cell", "[policy][idempotency]") {
+TEST_CASE("idempotency: a request with a cell-scoped key stays in its cell", "[policy][idempotency]") {
   Settings s = settings();
   s.classes[1].scope = KeyScope::cell;
   Invoker r(s);
@@ -741,7 +758,7 @@
   CHECK(r.answered.size() == 1U);
 }
 
-TEST_CASE("endpoint list: nothing new goes to a draining or gone worker", "[policy][endpoint-list]") {
+TEST_CASE("endpoint list: nothing new is sent to a draining or gone worker", "[policy][endpoint-list]") {
   for (const auto state : {WorkerState::draining, WorkerState::gone}) {
     Invoker r = warm_invoker();
     const std::string out = first_worker(r);
@@ -768,7 +785,7 @@
   for (auto i = loads; i < r.loads.size(); ++i) CHECK(r.loads[i].worker == left);
 }
 
-TEST_CASE("slow start: a warming worker is sent a little only", "[policy][slow-start]") {
+TEST_CASE("slow start: a warming worker gets only a few requests", "[policy][slow-start]") {
   Settings s = settings();
   s.max_attempts = 5;
   Invoker r(s);
@@ -779,11 +796,11 @@
     if (!r.sends.empty() && r.answered.count(r.sends.back().id) == 0)
       r.answer(r.sends.back(), Outcome::ok, 100);
   }
-  // One core, 0.16 of it, 2.5 times for a second is 400 ms of work: four calls of 100 ms.
+  // 0.16 of one core, times 2.5, for one second is 400 ms of work: four requests of 100 ms.
   CHECK(r.sends.size() <= 4U);
 }
 
-TEST_CASE("load orders: stay inside the load budget", "[policy][load-orders]") {
+TEST_CASE("load orders: their number stays within the load budget", "[policy][load-orders]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 2;
@@ -798,7 +815,8 @@
   CHECK(r.loads.size() >= 3U);
 }
 
-TEST_CASE("load orders: one that is never answered is given to another worker", "[policy][load-orders]") {
+TEST_CASE("load orders: an order that is never answered is repeated at another worker",
+          "[policy][load-orders]") {
   Invoker r(settings());
   r.list({entry("a"), entry("b")});
   r.request("x");
@@ -807,7 +825,7 @@
   REQUIRE(r.loads.size() >= 2U);
 }
 
-TEST_CASE("load orders: those in flight at once are bounded", "[policy][load-orders]") {
+TEST_CASE("load orders: the number in flight is bounded", "[policy][load-orders]") {
   Invoker r(settings());
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 40; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
@@ -816,8 +834,9 @@
   CHECK(r.loads.size() <= 12U);
 }
 
-// Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions
-// are hashed and decide the placement alone.
+// Plays the same events with `tag` in front of all names of classes, worker kinds and requests, and returns
+// the placements. Another spelling of these names changes no decision; ids of workers and functions are
+// hashed and affect only the placement.
 std::vector<std::string> placements_with(const std::string& tag) {
   Settings s = settings();
   for (auto& c : s.classes) c.name = tag + c.name;
@@ -853,14 +872,14 @@
   CHECK_FALSE(r.final_answer_violated);
   return placements;
 }
-TEST_CASE("names: decide nothing", "[policy][names]") {
+TEST_CASE("names: the spelling of names has no effect on decisions", "[policy][names]") {
   const auto plain = placements_with("");
   CHECK(plain.size() > 50U);
   CHECK(plain == placements_with("xyzzy-"));
   CHECK(plain == placements_with(""));
 }
 
-TEST_CASE("malformed input: breaks no rule", "[policy][malformed-input]") {
+TEST_CASE("malformed input: violates no rule", "[policy][malformed-input]") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     Settings s = settings();
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -15,7 +15,8 @@
   Request& request = parts.add_request("x", function);
 };
 
-TEST_CASE_METHOD(RequestTableTest, "RequestTable: is found by id and by serial until it is finished",
+TEST_CASE_METHOD(RequestTableTest,
+                 "RequestTable: a request is found by id and by serial until it is finished",
                  "[request-table]") {
   const std::uint64_t serial = request.serial;
   CHECK(table.find("x") == &request);
@@ -27,7 +28,8 @@
   CHECK(function.queue.empty());
 }
 
-TEST_CASE_METHOD(RequestTableTest, "RequestTable: outlives its final answer while an attempt is out",
+TEST_CASE_METHOD(RequestTableTest,
+                 "RequestTable: a request outlives its final answer while an attempt is in flight",
                  "[request-table]") {
   table.start_attempt(request, 0, parts.now);
   table.finish(request);
@@ -51,7 +53,7 @@
   CHECK(table.end_attempt(request, -1, Outcome::ok) == nullptr);
 }
 
-TEST_CASE_METHOD(RequestTableTest, "RequestTable: outcomes say whether an attempt can have run",
+TEST_CASE_METHOD(RequestTableTest, "RequestTable: the outcome determines whether an attempt may have run",
                  "[request-table]") {
   const std::vector<std::pair<Outcome, AttemptState>> states = {
       {Outcome::not_sent, AttemptState::not_sent},        {Outcome::full, AttemptState::never_ran},
@@ -62,7 +64,7 @@
     const int number = static_cast<int>(request.attempts.size()) - 1;
     CHECK(table.end_attempt(request, number, outcome)->state == state);
   }
-  UNSCOPED_INFO("one did not leave this machine");
+  UNSCOPED_INFO("one attempt was not sent");
   CHECK(request.attempts_sent() == 5);
 }
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -26,19 +26,22 @@
   WorkerIndex worker = parts.add_worker(entry("a"));
 };
 
-TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what may have run is repeated as its semantics allow",
+TEST_CASE_METHOD(RetryPolicyTest,
+                 "RetryPolicy: a request that may have run is repeated as its semantics allow",
                  "[retry-policy]") {
   CHECK(parts.retries.may_send(request_after_attempt(kRepeatable, Outcome::error), worker, parts.now));
   CHECK(parts.retries.may_send(request_after_attempt(kKeyed, Outcome::error), worker, parts.now));
   CHECK_FALSE(parts.retries.may_send(request_after_attempt(kOnce, Outcome::error), worker, parts.now));
 }
 
-TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: what never ran may always go again", "[retry-policy]") {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a request that never ran may always be sent again",
+                 "[retry-policy]") {
   CHECK(parts.retries.may_send(request_after_attempt(kOnce, Outcome::full), worker, parts.now));
   CHECK(parts.retries.may_send(request_after_attempt(kKeyed, Outcome::not_sent), worker, parts.now));
 }
 
-TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: a key holds for its window and scope", "[retry-policy]") {
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: an idempotency key is valid within its window and scope",
+                 "[retry-policy]") {
   Request& request = request_after_attempt(kKeyed, Outcome::error);
   const Millis window = parts.settings.classes[kKeyed].key_window;
   CHECK(parts.retries.may_repeat(request, nullptr, parts.now + window - parts.settings.tick));
@@ -48,11 +51,11 @@
   CHECK(parts.retries.may_repeat(request, &elsewhere, parts.now));
   elsewhere.zone = "z2";
   CHECK_FALSE(parts.retries.may_repeat(request, &elsewhere, parts.now));
-  UNSCOPED_INFO("a refused client may come anywhere");
+  UNSCOPED_INFO("a refused client may reach any worker");
   CHECK_FALSE(parts.retries.may_repeat(request, nullptr, parts.now));
 }
 
-TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: attempts are limited and those not sent count for nothing",
+TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: attempts are limited and attempts not sent do not count",
                  "[retry-policy]") {
   parts.settings.max_attempts = 1;
   CHECK_FALSE(parts.retries.may_send(request_after_attempt(kRepeatable, Outcome::error), worker, parts.now));
@@ -66,7 +69,8 @@
   CHECK(request.function->queue == (std::deque<std::uint64_t>{request.serial, other.serial}));
 }
 
-TEST_CASE_METHOD(RetryPolicyTest, "RetryPolicy: giving up refuses what may run again and fails the rest",
+TEST_CASE_METHOD(RetryPolicyTest,
+                 "RetryPolicy: giving up refuses requests that may run again and fails the others",
                  "[retry-policy]") {
   parts.retries.give_up(request_after_attempt(kRepeatable, Outcome::error), parts.now);
   parts.retries.give_up(request_after_attempt(kOnce, Outcome::error), parts.now);
@@ -83,7 +87,7 @@
   };
   CHECK(objective_in(4000) == 1000);
   CHECK(objective_in(4000) == 1000);
-  UNSCOPED_INFO("its first attempt was 500 ms ago");
+  UNSCOPED_INFO("the first attempt was 500 ms ago");
   CHECK(objective_in(3500) == 500);
   CHECK(objective_in(4000) == 1000);
 }
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -11,7 +11,7 @@
 
 class SchedulerTest {
  protected:
-  /// A function whose runs take 100 ms and whose loads 300 ms, with one slot at the worker.
+  /// A function with runs of 100 ms and loads of 300 ms that has one slot at the worker.
   Function& loaded_function(std::uint64_t id) {
     Function& function = parts.add_function(id, 0, 1);
     for (int i = 0; i < 10; ++i) parts.times.record_run(function.times, 0, 100);
@@ -52,8 +52,8 @@
   CHECK(function.queue.empty());
 }
 
-// E = N + 1 - L K / R with K = 1, L / R = 3: three may wait, the fourth starts a load.
-TEST_CASE_METHOD(SchedulerTest, "Scheduler: a load begins only if the expected queue after it is above zero",
+// E = N + 1 - L K / R with K = 1 and L / R = 3: three requests may wait, and the fourth one starts a load.
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a load starts only if the expected queue after it is above zero",
                  "[scheduler]") {
   parts.add_worker(entry("b"));
   Function& function = loaded_function(1);
@@ -68,18 +68,19 @@
   CHECK(parts.functions.loads_in_flight() == 1);
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler: with nothing loaded the first request loads", "[scheduler]") {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: the first request starts a load if no instance is loaded",
+                 "[scheduler]") {
   Function& function = parts.add_function(1);
   request(function);
   scheduler.schedule(function, parts.now);
   CHECK(loads() == 1U);
   request(function);
   scheduler.schedule(function, parts.now);
-  UNSCOPED_INFO("one is under way");
+  UNSCOPED_INFO("one load is in progress");
   CHECK(loads() == 1U);
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler: a worker is handed to the queued function of the lowest weight",
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a worker is assigned to the queued function of the lowest weight",
                  "[scheduler]") {
   Function& slow = loaded_function(1);
   for (int i = 0; i < 100; ++i) parts.times.record_run(slow.times, 0, 1000);
@@ -95,7 +96,7 @@
 }
 
 TEST_CASE_METHOD(SchedulerTest,
-                 "Scheduler: no more loads than the order budget allows so the request itself loads",
+                 "Scheduler: a request is sent to load its function if the order budget is exhausted",
                  "[scheduler]") {
   parts.settings.load_window = Millis(5000);
   Function& function = parts.add_function(1);
@@ -105,7 +106,8 @@
   CHECK(sends() == 1U);
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler: a request past its objective is shed unless a load is under way",
+TEST_CASE_METHOD(SchedulerTest,
+                 "Scheduler: a request past its objective is shed unless a load is in progress",
                  "[scheduler]") {
   Function& function = parts.add_function(1);
   request(function);
@@ -120,7 +122,8 @@
   CHECK(shedder.count(ShedReason::no_instance) == 1);
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler: a shed request is counted by what kept it back", "[scheduler]") {
+TEST_CASE_METHOD(SchedulerTest, "Scheduler: a shed request is counted by the reason that held it back",
+                 "[scheduler]") {
   Function& function = loaded_function(1);
   const auto shed_one = [&](ShedReason reason) {
     request(function);
--- a/tests/policy/useless_answers_test.cpp
+++ b/tests/policy/useless_answers_test.cpp
@@ -3,8 +3,8 @@
 #include "policy_harness.h"
 #include "simulated_fleet.h"
 
-// Guards against a worker that answers at once and serves nothing, to which a call goes with all its attempts
-// (found by the soak, seeds 210 and 221 of 30 s).
+// Guards against requests that use up all their attempts at one worker, which answers at once but serves
+// nothing (found by the soak test, seeds 210 and 221 with 30 s).
 namespace pathstack::policy::test {
 namespace {
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a worker of eight that serves nothing costs a call one attempt, and loses its place",
+TEST_CASE("one of eight workers that serves nothing costs a request one attempt and is then excluded",
           "[useless-answers]") {
   const auto outcome = GENERATE(Outcome::moot, Outcome::full, Outcome::miss, Outcome::error, Outcome::reset,
                                 Outcome::unreachable);
@@ -46,22 +46,24 @@
   }
   fleet.play(200);
   CHECK(fleet.served - served >= 0.99 * (fleet.calls - calls));
-  // A worker that is full, fails or loses a connection for once may be tried again: the first calls find out.
-  const bool may_pass = outcome != Outcome::moot && outcome != Outcome::miss;
+  // A worker that is full, fails or loses a connection once may be tried again by the same request, until the
+  // first few requests have shown that it serves nothing.
+  const bool may_be_retried = outcome != Outcome::moot && outcome != Outcome::miss;
   int at_worker = 0, again = 0;
   for (const auto& [where, count] : fleet.attempts) {
     if (where.second != "s1" || std::stoi(where.first.substr(1)) <= calls) continue;
     again += count - 1;
     at_worker += count;
   }
-  // Of some 1500 calls one in eight would go there. The last one in flight is not judged yet.
+  // Without exclusion, one in eight of about 1500 requests would be sent there. The last request in flight
+  // has no outcome yet.
   CHECK(at_worker <= 40);
-  CHECK(again <= (may_pass ? 2 : 0));
+  CHECK(again <= (may_be_retried ? 2 : 0));
 
-  fleet.answer_with("s1", Outcome::ok);  // it comes back
+  fleet.answer_with("s1", Outcome::ok);  // the worker serves again
   fleet.play(10000);
   fleet.used.clear();
-  fleet.functions = 200;  // new ones are placed anew
+  fleet.functions = 200;  // new functions get a new placement
   fleet.play(3000);
   CHECK(fleet.used.count("s1") == 1);
 }
