--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -11,7 +11,7 @@
 // An answer that took more than this many typical runs is taken to include a load if the instance was not
 // known to be loaded.
 constexpr double kLoadThresholdRunsUnconfirmed = 2.5;
-constexpr double kMinLoadMs = 1;      // milliseconds
+constexpr double kMinLoadMs = 1;      // lower bound of a recorded load time
 constexpr Millis kNearDeadline{100};  // time until the deadline in which a moot answer is plausible
 constexpr int kSendsPerBackoff = 3;   // failed sends of a request before each backoff
 
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -43,7 +43,7 @@
   Millis objective_at{0};                    // an answer after this is late
   bool done = false;                         // final answer given, or abandoned by its client
   bool streaming = false;                    // a streamed answer has started
-  std::vector<Attempt> attempts;             // by attempt number; only the last may be in flight
+  std::vector<Attempt> attempts;             // by attempt number; at most the last is in flight
   int attempts_not_sent = 0;                 // attempts in state not_sent
   std::vector<WorkerIndex> avoided_workers;  // workers whose answers show that a retry there is useless
   Millis not_before{kNever};                 // end of the backoff after local faults
