--- a/tests/policy/policy_harness.h
+++ b/tests/policy/policy_harness.h
@@ -1,4 +1,5 @@
-/// What the tests of the decision module share: settings, and an invoker that checks every action.
+/// Shared helpers of the tests of the decision module: settings, and an invoker that checks and records all
+/// actions.
 #pragma once
 
 #include <map>
@@ -10,6 +11,7 @@
 
 namespace pathstack::policy::test {
 
+/// Settings with one class of each semantics and one worker kind.
 inline Settings settings() {
   Settings s;
   s.zone = "z1";
@@ -43,6 +45,7 @@
   return s;
 }
 
+/// A list entry of a worker of kind `std` in the invoker's zone; `started` is in milliseconds.
 inline WorkerEntry entry(const std::string& id, WorkerState state = WorkerState::ready, double started = 0) {
   WorkerEntry e;
   e.worker = id;
@@ -53,28 +56,28 @@
   return e;
 }
 
-/// Plays events into one Policy and keeps the actions that came out, by kind.
+/// Feeds events to one Policy and records the resulting actions by kind.
 class Invoker {
  public:
-  explicit Invoker(Settings s = settings()) { give(event::Start{std::move(s)}); }
+  explicit Invoker(Settings s = settings()) { handle(event::Start{std::move(s)}); }
 
-  void give(const Event& e) {
+  void handle(const Event& e) {
     std::vector<Action> out;
     policy.handle(now, e, out);
     for (auto& a : out) {
       if (const auto* send = std::get_if<action::Send>(&a)) {
         sends.push_back(*send);
         attempts[send->id]++;
-        broken = broken || answered.count(send->id) > 0;
+        final_answer_violated = final_answer_violated || answered.count(send->id) > 0;
       } else if (const auto* load = std::get_if<action::Load>(&a)) {
         if (load->instances > 0) loads.push_back(*load);
       } else if (const auto* refuse = std::get_if<action::Refuse>(&a)) {
         refused.push_back(refuse->id);
         retry_after.push_back(refuse->retry_after);
-        broken = !answered.insert(refuse->id).second || broken;
+        final_answer_violated = !answered.insert(refuse->id).second || final_answer_violated;
       } else if (const auto* fail = std::get_if<action::Fail>(&a)) {
         failed.push_back(fail->id);
-        broken = !answered.insert(fail->id).second || broken;
+        final_answer_violated = !answered.insert(fail->id).second || final_answer_violated;
       } else if (const auto* timer = std::get_if<action::SetTimer>(&a)) {
         timers.emplace((now + timer->after).count(), timer->token);
       } else if (const auto* cancel = std::get_if<action::Cancel>(&a)) {
@@ -84,9 +87,11 @@
       }
     }
   }
+  /// Delivers a worker list.
   void list(std::vector<WorkerEntry> entries, ListKind kind = ListKind::full) {
-    give(event::WorkerList{kind, std::move(entries)});
+    handle(event::WorkerList{kind, std::move(entries)});
   }
+  /// A client's request arrives; `expires` is its time left in milliseconds.
   void request(const std::string& id, std::uint64_t function = 1, const std::string& cls = "safe",
                double expires = 4000, int slots = 2) {
     event::Request r;
@@ -97,8 +102,9 @@
     r.concurrency = slots;
     r.load_hint = Millis(1000);
     r.expires_in = Millis(expires);
-    give(r);
+    handle(r);
   }
+  /// Ends the latest attempt of the request; `elapsed` is in milliseconds.
   void answer(const action::Send& send, Outcome outcome, double elapsed = 100, Warmth warmth = Warmth::warm) {
     event::AttemptEnded a;
     a.id = send.id;
@@ -109,20 +115,21 @@
     a.request_finished = outcome == Outcome::ok;
     if (a.request_finished) answered.insert(send.id);
     a.elapsed = Millis(elapsed);
-    give(a);
+    handle(a);
   }
+  /// Ends a load order after 500 ms.
   void loaded(const std::string& worker, std::uint64_t function, int instances,
               Outcome outcome = Outcome::ok) {
-    give(event::LoadEnded{worker, function, outcome, Millis(500), instances});
+    handle(event::LoadEnded{worker, function, outcome, Millis(500), instances});
   }
-  /// Lets time pass and gives each timer when it is due.
-  void pass(double ms) {
+  /// Advances the clock and fires each timer when it is due.
+  void advance(double ms) {
     const double until = now.count() + ms;
     while (!timers.empty() && timers.begin()->first <= until) {
       const auto [at, token] = *timers.begin();
       timers.erase(timers.begin());
       now = std::max(now, Millis(at));
-      give(event::Timer{token});
+      handle(event::Timer{token});
     }
     now = Millis(until);
   }
@@ -130,12 +137,12 @@
   Policy policy;
   Millis now{1000};
   double memory_mb = 500;
-  bool broken = false;  // a request was answered twice, or sent after its answer
+  bool final_answer_violated = false;  // a request was answered twice, or sent after its answer
   std::vector<action::Send> sends;
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
   std::vector<std::string> refused, failed, probes;
-  std::vector<Millis> retry_after;  // beside each id in `refused`
+  std::vector<Millis> retry_after;  // one for each id in `refused`
   std::set<std::string> answered;
   std::map<std::string, int> attempts;
   std::multimap<double, std::uint64_t> timers;
