--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -73,8 +73,8 @@
     case WorkerChange::Kind::restarted:
       outliers_.restarted(change.worker);
       slow_start_.restarted(change.worker);
-      return functions_.forget_instances(change.worker);
-    case WorkerChange::Kind::left: return functions_.forget_instances(change.worker);
+      return functions_.clear_instances(change.worker);
+    case WorkerChange::Kind::left: return functions_.clear_instances(change.worker);
   }
 }
 
@@ -211,7 +211,7 @@
 
 void Engine::prune(Millis now) {
   for (const WorkerIndex worker : workers_.prune(now)) {
-    functions_.forget_instances(worker);
+    functions_.clear_instances(worker);
     reset(worker);
   }
   functions_.prune(now);
--- a/src/policy/function_table.cpp
+++ b/src/policy/function_table.cpp
@@ -66,7 +66,7 @@
   instance.loading = 0;
 }
 
-void FunctionTable::forget_instances(WorkerIndex worker) {
+void FunctionTable::clear_instances(WorkerIndex worker) {
   for (const auto& function : functions_) {
     Instance* instance = function->find_instance(worker);
     if (instance == nullptr) continue;
--- a/src/policy/function_table.h
+++ b/src/policy/function_table.h
@@ -13,7 +13,7 @@
 namespace pathstack::policy {
 
 /// Most instances of one function at one worker, by the wire.
-inline constexpr int kMostInstancesAtWorker = 16;
+inline constexpr int kMaxInstancesPerWorker = 16;
 
 /// What is believed of one function at one worker.
 struct Instance {
@@ -44,8 +44,8 @@
   Millis first_seen{kNever};
   Millis last_seen{kNever};
   Millis no_order_before{kNever};
-  bool missed = false;  // the last request sent found no instance
-  bool blamed = false;  // it failed somewhere
+  bool last_attempt_missed = false;  // the last request sent found no instance
+  bool failure_counted = false;      // it failed somewhere
 
   Instance* find_instance(WorkerIndex worker);
   /// Adds an empty one if there is none. Further additions invalidate the reference.
@@ -57,7 +57,7 @@
 /// Owned by Policy. Beliefs about instances lapse after the keep-alive of the settings; a load order whose
 /// answer is lost or late ends by itself, or its function would wait for ever. A function is pruned when
 /// nothing of it is queued, loaded or in flight and no request has named it for a while; any name may be
-/// requested, so many are dropped sooner. expire, prune and forget_instances are O(functions x instances),
+/// requested, so many are dropped sooner. expire, prune and clear_instances are O(functions x instances),
 /// the rest is O(1) or O(instances of the function).
 class FunctionTable {
  public:
@@ -75,7 +75,7 @@
   int loads_in_flight() const { return loads_in_flight_; }
 
   /// Nothing is loaded or loading at the worker any more.
-  void forget_instances(WorkerIndex worker);
+  void clear_instances(WorkerIndex worker);
 
   void expire(Millis now);
   void prune(Millis now);
--- a/src/policy/lease_renewal.cpp
+++ b/src/policy/lease_renewal.cpp
@@ -52,8 +52,8 @@
 }
 
 double LeaseRenewal::share_left(Millis now) const {
-  const double allowed = order_budget_.allowed(now);
-  return allowed < std::numeric_limits<double>::infinity() ? order_budget_.left(now) / allowed : 1;
+  const double allowed = order_budget_.limit(now);
+  return allowed < std::numeric_limits<double>::infinity() ? order_budget_.remaining(now) / allowed : 1;
 }
 
 Millis LeaseRenewal::renewal_age(Millis now) const {
@@ -106,7 +106,7 @@
     return at <= kNever ? std::string("never") : std::to_string(static_cast<long>((now - at).count()));
   };
   const Record& record = records_[worker];
-  const double left = std::min(order_budget_.left(now), kMostOrdersLogged);
+  const double left = std::min(order_budget_.remaining(now), kMostOrdersLogged);
   actions_.emit(action::Log{"worker.lease_lost worker=" + workers_[worker].worker +
                             " accepted_ms=" + age(lease_.accepted_at(worker)) +
                             " sent_ms=" + age(record.sent_at) + " ordered_ms=" + age(record.ordered_at) +
@@ -150,7 +150,7 @@
   if (!is_due) wake_at(due, now);
   Record& record = records_[worker];
   if (!settings_.load_orders || !is_due || now - record.order_at <= kOrderAnswer) return;
-  if (order_budget_.left(now) < 1 + reserved) return;
+  if (order_budget_.remaining(now) < 1 + reserved) return;
   const Function* function = standing_function(worker, now);
   if (function == nullptr) return;
   record.order_at = record.ordered_at = now;
--- a/src/policy/load_order_budget.cpp
+++ b/src/policy/load_order_budget.cpp
@@ -11,15 +11,15 @@
   forget_requests(now);
 }
 
-double LoadOrderBudget::allowed(Millis now) {
+double LoadOrderBudget::limit(Millis now) {
   if (!is_limited()) return std::numeric_limits<double>::infinity();
   forget_requests(now);
   return settings_.load_floor + settings_.load_ratio * static_cast<double>(requests_.size());
 }
 
-double LoadOrderBudget::left(Millis now) {
+double LoadOrderBudget::remaining(Millis now) {
   while (!orders_.empty() && now - orders_.front() > settings_.load_window) orders_.pop_front();
-  return allowed(now) - static_cast<double>(orders_.size());
+  return limit(now) - static_cast<double>(orders_.size());
 }
 
 void LoadOrderBudget::order_sent(Millis now) {
--- a/src/policy/load_order_budget.h
+++ b/src/policy/load_order_budget.h
@@ -17,11 +17,11 @@
   explicit LoadOrderBudget(const Settings& settings) : settings_(settings) {}
 
   void request_arrived(Millis now);
-  bool allows_order(Millis now) { return left(now) >= 1; }
+  bool allows_order(Millis now) { return remaining(now) >= 1; }
   /// Orders allowed within the window; infinite where there is no limit.
-  double allowed(Millis now);
+  double limit(Millis now);
   /// Of these, what is left.
-  double left(Millis now);
+  double remaining(Millis now);
   void order_sent(Millis now);
   /// The order of this time did not leave: it counts for nothing.
   void order_not_sent(Millis sent_at);
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -83,7 +83,7 @@
     case Outcome::ok: return record_success(request, attempt, instance, answer, now);
     case Outcome::miss:
       instance.loaded = 0;
-      request.function->missed = true;
+      request.function->last_attempt_missed = true;
       if (!settings_.rejects_on_miss) record_useless(request, attempt, answer, now);
       return;
     case Outcome::full: lease_.turned_away(worker, now); return limits_.record_full(worker, now);
@@ -106,7 +106,7 @@
   lease_.accepted(attempt.worker, request.function->id, attempt.sent_at);
   record_times(request, attempt, answer, now);
   outliers_.record_success(attempt.worker, request.class_index, now);
-  request.function->missed = false;
+  request.function->last_attempt_missed = false;
   instance.loaded = std::max(instance.loaded, 1);
   instance.confirmed = true;
   instance.used_at = now;
@@ -153,8 +153,8 @@
   if (attempt.taken_as_lost) return;  // it has counted already
   // Requests for functions that no worker knows fail wherever they go: one of them counts, at most.
   Function& function = *request.function;
-  if (!function.times.run.known() && function.blamed) return;
-  function.blamed = true;
+  if (!function.times.run.known() && function.failure_counted) return;
+  function.failure_counted = true;
   outliers_.record_failure(attempt.worker, request.class_index, now);
   // With many invokers each sends to a worker once in seconds: one error faster than a run is enough.
   const bool fast = std::max(answer.elapsed.count(), 0.0) < times_.work(request.class_index);
@@ -182,7 +182,7 @@
     }
     // Orders that fail at once would else go out at every sweep, to one worker after the other.
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
-    if (order.instances > 0) function.missed = false;
+    if (order.instances > 0) function.last_attempt_missed = false;
   }
   if (order.outcome == Outcome::full) lease_.turned_away(worker, now);
   const bool stands = order.outcome == Outcome::ok && order.instances > 0;
@@ -194,7 +194,7 @@
     case Outcome::timeout: return;
     default: break;
   }
-  instance.loaded = std::min(std::max(order.instances, 0), kMostInstancesAtWorker);
+  instance.loaded = std::min(std::max(order.instances, 0), kMaxInstancesPerWorker);
   instance.confirmed = instance.loaded > 0;
   instance.used_at = now;
 }
@@ -218,7 +218,7 @@
 
 // The list would tell of a restart, which counts as told though it cannot be received.
 void OutcomeRecorder::process_replaced(WorkerIndex worker, Millis now) {
-  functions_.forget_instances(worker);
+  functions_.clear_instances(worker);
   slow_start_.returned(worker, now);
 }
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -151,7 +151,7 @@
 
 void OutlierDetector::mark_down(WorkerIndex worker) {
   Record& record = records_[worker];
-  if (!record.down) functions_.forget_instances(worker);
+  if (!record.down) functions_.clear_instances(worker);
   record.down = true;
 }
 
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -122,13 +122,13 @@
 /// invokers the replica is most likely warm, since each sees a sliver of the requests; with few, sends would
 /// be loads past the window of the order budget.
 bool Scheduler::loads_by_sending(const Function& function, const Request& next, bool may_order) const {
-  if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.missed;
+  if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.last_attempt_missed;
   return has_many_invokers(settings_) || !may_order;
 }
 
 void Scheduler::order_load(Function& function, Instance& instance, Millis now) {
   const bool warm = functions_.is_warm(instance, now);
-  const int wanted = warm ? std::min(instance.loaded + 1, kMostInstancesAtWorker) : 1;
+  const int wanted = warm ? std::min(instance.loaded + 1, kMaxInstancesPerWorker) : 1;
   actions_.emit(action::Load{workers_[instance.worker].worker, function.id, wanted});
   order_budget_.order_sent(now);
   functions_.begin_load(instance, now);
--- a/tests/policy/function_table_test.cpp
+++ b/tests/policy/function_table_test.cpp
@@ -39,7 +39,7 @@
     function.instance_at(4).loaded = 2;
     parts.functions.begin_load(function.instance_at(3), parts.now);
   }
-  parts.functions.forget_instances(3);
+  parts.functions.clear_instances(3);
   CHECK(parts.functions.loads_in_flight() == 0);
   for (const auto& function : parts.functions.all()) {
     CHECK(function->find_instance(3)->loaded == 0);
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -73,7 +73,7 @@
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::miss, 1);
   CHECK(function.find_instance(worker)->loaded == 0);
-  CHECK(function.missed);
+  CHECK(function.last_attempt_missed);
 }
 
 TEST_CASE_METHOD(OutcomeRecorderTest, "OutcomeRecorder: an attempt out for too long counts as a failure once",
