--- a/tests/replay/day_plan.cpp
+++ b/tests/replay/day_plan.cpp
@@ -77,14 +77,14 @@
   plan.error_share = 20;
   plan.reset_share = 5;
   plan.lost_answer_share = 5;
-  plan.client_leaves_share = 30;
+  plan.abandoned_request_share = 30;
   plan.load_failure_share = 50;
   plan.short_deadline_share = 10;
-  plan.fault_every_ms = 400;
-  plan.restart_invoker_every_ms = 2500;
+  plan.fault_interval_ms = 400;
+  plan.invoker_restart_interval_ms = 2500;
 }
 
-DayPlan calm_day() {
+DayPlan single_invoker_day() {
   DayPlan plan;
   plan.name = "calm-one-invoker";
   plan.seed = 101;
@@ -92,7 +92,7 @@
   return plan;
 }
 
-DayPlan trouble_day() {  // probes bring the reports, peers tell one another
+DayPlan faults_day() {  // probes bring the reports, peers tell one another
   DayPlan plan;
   plan.name = "trouble-five-invokers";
   plan.seed = 102;
@@ -113,7 +113,7 @@
   return plan;
 }
 
-DayPlan answered_miss_day() {  // answers bring the reports, the list has to be asked for
+DayPlan miss_rejection_day() {  // answers bring the reports, the list has to be asked for
   DayPlan plan;
   plan.name = "miss-thirty-invokers";
   plan.seed = 103;
@@ -132,7 +132,7 @@
   return plan;
 }
 
-DayPlan large_tier_day() {  // a part of 300 invokers; answers say nothing of instances
+DayPlan many_invokers_day() {  // a part of 300 invokers; answers say nothing of instances
   DayPlan plan;
   plan.name = "trouble-of-300-invokers";
   plan.seed = 104;
@@ -153,8 +153,8 @@
   return plan;
 }
 
-DayPlan large_tier_with_orders_day() {
-  DayPlan plan = large_tier_day();
+DayPlan many_invokers_with_orders_day() {
+  DayPlan plan = many_invokers_day();
   plan.name = "orders-of-300-invokers";
   plan.seed = 105;
   plan.settings["FamilyInfo"]["OnMiss"] = "miss";
@@ -164,7 +164,7 @@
   plan.settings["WorthBy"] = "work";
   plan.settings["Bounds"]["Cancel"] = false;
   plan.requests_per_second = 900;
-  plan.odd_message_share = 100;
+  plan.stray_message_share = 100;
   return plan;
 }
 
@@ -188,7 +188,7 @@
 }
 
 DayPlan hedged_requests_day() {
-  DayPlan plan = trouble_day();
+  DayPlan plan = faults_day();
   plan.name = "second-copies-five-invokers";
   plan.seed = 107;
   plan.settings["Bounds"]["SecondCopies"] = true;
@@ -196,7 +196,7 @@
   plan.settings["LoadInfo"]["How"] = "piggyback";
   plan.settings["RegistryMode"] = "ask";
   plan.discovery_failure_share = 300;
-  plan.odd_message_share = 100;
+  plan.stray_message_share = 100;
   return plan;
 }
 
@@ -215,8 +215,8 @@
   plan.traffic_until_ms = 40000;
   plan.has_failing_worker = true;
   add_faults(plan);
-  plan.fault_every_ms = 1500;
-  plan.restart_invoker_every_ms = 0;
+  plan.fault_interval_ms = 1500;
+  plan.invoker_restart_interval_ms = 0;
   return plan;
 }
 
@@ -237,11 +237,11 @@
 }  // namespace
 
 std::vector<DayPlan> day_plans() {
-  return {calm_day(),
-          trouble_day(),
-          answered_miss_day(),
-          large_tier_day(),
-          large_tier_with_orders_day(),
+  return {single_invoker_day(),
+          faults_day(),
+          miss_rejection_day(),
+          many_invokers_day(),
+          many_invokers_with_orders_day(),
           overload_day(),
           hedged_requests_day(),
           long_quiet_day(),
--- a/tests/replay/day_plan.h
+++ b/tests/replay/day_plan.h
@@ -25,14 +25,14 @@
   bool has_failing_worker = false;  // one that answers every request BAD
   int reset_share = 0;
   int lost_answer_share = 0;  // answered LATE
-  int client_leaves_share = 0;
+  int abandoned_request_share = 0;
   int load_failure_share = 0;
   int short_deadline_share = 0;  // requests with hardly any time left
-  int fault_every_ms = 0;        // pace of faults of one worker each; 0: none
-  int restart_invoker_every_ms = 0;
+  int fault_interval_ms = 0;     // pace of faults of one worker each; 0: none
+  int invoker_restart_interval_ms = 0;
   int discovery_failure_share = 0;
-  int odd_message_share = 0;  // odd messages, per request; also unlisted classes and repeats
-  int peer_loss_share = 20;
+  int stray_message_share = 0;  // odd messages, per request; also unlisted classes and repeats
+  int peer_message_loss_share = 20;
 };
 
 /// All days, in the order in which they are played.
--- a/tests/replay/fleet_simulation.h
+++ b/tests/replay/fleet_simulation.h
@@ -42,11 +42,11 @@
     std::string id, zone, kind;
     int cell = 0, availability = 2;
     Micros started = 0, down_until = 0, silent_until = 0;
-    int slow_factor = 1, error_share = 0, in_work = 0;
+    int slow_factor = 1, error_share = 0, in_flight = 0;
     std::map<std::uint64_t, Instance> instances;
   };
   struct Invoker {
-    bool live = false, subscribed = false;
+    bool running = false, subscribed = false;
     int incarnation = 0;
     Micros list_delay = 0;
     Json inbox = Json::array();
@@ -54,18 +54,18 @@
   struct Attempt {
     int worker = 0;
     Micros sent = 0;
-    bool settled = false;
+    bool finished = false;
   };
   struct Request {
     int invoker = 0, incarnation = 0, class_index = 0;
     std::uint64_t function = 0;
     Micros deadline = 0;
-    bool over = false, streaming = false;
+    bool finished = false, streaming = false;
     std::vector<Attempt> attempts;
   };
-  struct Fate {  // how an attempt will end
+  struct AttemptResult {  // how an attempt will end
     std::string status;
-    Micros after = 0;  // never_answered: only the time-out ends it
+    Micros after = 0;  // kNoAnswer: only the time-out ends it
     int remark = 0;
   };
 
@@ -87,33 +87,33 @@
   void start_fleet();
   void start_invoker(int index);
   void stop_invoker(int index);
-  void restart_some_invoker();
-  void play_round(Summary& summary, const Observer& observer);
+  void restart_random_invoker();
+  void run_round(Summary& summary, const Observer& observer);
 
   void add_worker();
   Json entry(const Worker& worker) const;
   void deliver_list(int invoker, int kind, const Json& entries);
-  void announce(int index);
-  void full_list(int invoker, int kind);
+  void announce_worker(int index);
+  void deliver_full_list(int invoker, int kind);
 
-  void break_some_worker();
+  void inject_worker_fault();
   void restart_worker(int index);
   void drain_worker(int index);
 
-  void arrive();
-  void request(int invoker, std::uint64_t function, Micros expires_in, bool retry);
-  void client_leaves(const std::string& id);
-  void client_retries(const Request& ended);
-  void odd_messages(int invoker, const std::string& id);
+  void generate_requests();
+  void add_request(int invoker, std::uint64_t function, Micros expires_in, bool retry);
+  void abandon_request(const std::string& id);
+  void retry_request(const Request& ended);
+  void send_stray_message(int invoker, const std::string& id);
 
-  void perform(int invoker, const Json& command);
+  void execute(int invoker, const Json& command);
   void assign(int invoker, const Json& command);
-  Fate fate_of(Worker& worker, const Request& request, Micros time_out);
-  Fate fate_without_time_out(Worker& worker, const Request& request);
-  Fate run_at(Worker& worker, const Request& request);
-  void settle(const std::string& id, int attempt, const Fate& fate);
+  AttemptResult attempt_result(Worker& worker, const Request& request, Micros timeout);
+  AttemptResult result_without_timeout(Worker& worker, const Request& request);
+  AttemptResult run_request(Worker& worker, const Request& request);
+  void finish_attempt(const std::string& id, int attempt, const AttemptResult& result);
   void begin_stream(const std::string& id, int attempt);
-  void recall(const Json& command);
+  void cancel_attempt(const Json& command);
   void end_request(const Json& command, bool refused);
   void load(int invoker, const Json& command);
   void probe(int invoker, const Json& command);
--- a/tests/replay/gzip_lines.cpp
+++ b/tests/replay/gzip_lines.cpp
@@ -9,13 +9,13 @@
 namespace pathstack::policy::replay {
 namespace {
 
-constexpr std::size_t chunk_bytes = 65536;
+constexpr std::size_t kChunkBytes = 65536;
 
 std::string read_gzip(const std::string& path) {
   const std::unique_ptr<gzFile_s, int (*)(gzFile)> file(gzopen(path.c_str(), "rb"), gzclose);
   if (!file) throw std::runtime_error("cannot open " + path);
   std::string text;
-  std::array<char, chunk_bytes> chunk{};
+  std::array<char, kChunkBytes> chunk{};
   int read = 0;
   while ((read = gzread(file.get(), chunk.data(), chunk.size())) > 0)
     text.append(chunk.data(), static_cast<std::size_t>(read));
--- a/tests/replay/random.h
+++ b/tests/replay/random.h
@@ -14,7 +14,7 @@
   std::int64_t below(std::int64_t limit) {
     return static_cast<std::int64_t>(engine_() % static_cast<std::uint64_t>(limit));
   }
-  std::int64_t between(std::int64_t least, std::int64_t most) { return least + below(most - least + 1); }
+  std::int64_t between(std::int64_t min, std::int64_t max) { return min + below(max - min + 1); }
   bool permille(int share) { return below(1000) < share; }
 
  private:
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -24,9 +24,9 @@
 namespace pathstack::policy::replay {
 namespace {
 
-const std::string source_folder = REPLAY_SOURCE_FOLDER;
+const std::string kSourceFolder = REPLAY_SOURCE_FOLDER;
 
-std::string folder_of_variable(const char* name) {
+std::string folder_from_environment(const char* name) {
   const char* folder = std::getenv(name);
   return folder == nullptr ? std::string() : std::string(folder);
 }
@@ -34,14 +34,14 @@
 /// The lines of expected_days.txt by the name of the day; lines that begin with # are comments.
 std::map<std::string, std::string> expected_days() {
   std::map<std::string, std::string> lines;
-  std::ifstream file(source_folder + "/expected_days.txt");
+  std::ifstream file(kSourceFolder + "/expected_days.txt");
   for (std::string line; std::getline(file, line);) {
     if (!line.empty() && line.front() != '#') lines[line.substr(0, line.find(' '))] = line;
   }
   return lines;
 }
 
-Summary play(const DayPlan& plan, const std::string& trace_folder) {
+Summary run_day(const DayPlan& plan, const std::string& trace_folder) {
   if (trace_folder.empty()) return FleetSimulation(plan).run();
   std::ofstream trace(trace_folder + "/" + plan.name + ".trace");
   return FleetSimulation(plan).run([&](const std::string& round, const std::string& reply) {
@@ -50,8 +50,8 @@
 }
 
 void check_generated_day(const DayPlan& plan) {
-  const std::string line = play(plan, folder_of_variable("REPLAY_TRACE")).line(plan.name);
-  const std::string record_folder = folder_of_variable("REPLAY_RECORD");
+  const std::string line = run_day(plan, folder_from_environment("REPLAY_TRACE")).line(plan.name);
+  const std::string record_folder = folder_from_environment("REPLAY_RECORD");
   if (!record_folder.empty())
     std::ofstream(record_folder + "/expected_days.txt", std::ios::app) << line << '\n';
   CHECK(line == expected_days()[plan.name]);
@@ -74,12 +74,12 @@
 }
 
 void check_recorded_day(const std::string& name) {
-  const std::string file = source_folder + "/data/" + name;
+  const std::string file = kSourceFolder + "/data/" + name;
   const std::vector<std::string> rounds = read_gzip_lines(file + ".rounds.gz");
   const std::vector<std::string> expected = read_gzip_lines(file + ".replies.gz");
   REQUIRE_FALSE(rounds.empty());
   REQUIRE(rounds.size() == expected.size());
-  const std::string record_folder = folder_of_variable("REPLAY_RECORD");
+  const std::string record_folder = folder_from_environment("REPLAY_RECORD");
   std::ofstream recorded;
   if (!record_folder.empty()) recorded.open(record_folder + "/" + name + ".replies");
   simulator_adapter::Adapter adapter;
--- a/tests/replay/summary.h
+++ b/tests/replay/summary.h
@@ -19,11 +19,11 @@
   std::uint64_t value() const { return hash_; }
 
  private:
-  static constexpr std::uint64_t offset_basis = 0xcbf29ce484222325ULL;
-  static constexpr std::uint64_t prime = 0x100000001b3ULL;
-  std::uint64_t hash_ = offset_basis;
+  static constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325ULL;
+  static constexpr std::uint64_t kPrime = 0x100000001b3ULL;
+  std::uint64_t hash_ = kOffsetBasis;
 
-  void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * prime; }
+  void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * kPrime; }
 };
 
 /// Digest and counts of the replies of one day.
