--- a/src/policy/function_table.cpp
+++ b/src/policy/function_table.cpp
@@ -5,10 +5,10 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kForgetAfter{60000};         // functions that nobody requested in this time are dropped
-constexpr Millis kForgetUnservedAfter{5000};  // those that no worker has served yet
-constexpr std::size_t kMostFunctions = 4096;  // beyond so many, as soon as nothing holds them
-constexpr int kMostSlots = 1024;
+constexpr Millis kIdleRetention{60000};      // functions that nobody requested in this time are dropped
+constexpr Millis kUnservedRetention{5000};   // those that no worker has served yet
+constexpr std::size_t kMaxFunctions = 4096;  // beyond so many, as soon as nothing holds them
+constexpr int kMaxSlots = 1024;
 
 }  // namespace
 
@@ -27,16 +27,16 @@
 }
 
 Function& FunctionTable::request_arrived(const event::Request& request, int class_index, Millis now) {
-  const auto [place, added] = by_id_.try_emplace(request.function, nullptr);
+  const auto [entry, added] = by_id_.try_emplace(request.function, nullptr);
   if (added) {
     functions_.push_back(std::make_unique<Function>());
-    place->second = functions_.back().get();
-    place->second->id = request.function;
-    place->second->first_seen = now;
+    entry->second = functions_.back().get();
+    entry->second->id = request.function;
+    entry->second->first_seen = now;
   }
-  Function& function = *place->second;
+  Function& function = *entry->second;
   function.times.class_index = class_index;
-  function.slots = std::min(std::max(request.concurrency, 1), kMostSlots);
+  function.slots = std::min(std::max(request.concurrency, 1), kMaxSlots);
   if (request.load_hint) function.times.load_hint = std::max(request.load_hint->count(), 0.0);
   function.arrivals = 1 + function.arrivals * decay(now, function.last_seen, kDemandTimeConstant);
   function.last_seen = now;
@@ -94,10 +94,10 @@
 
 void FunctionTable::prune(Millis now) {
   const auto is_stale = [&](const std::unique_ptr<Function>& function) {
-    Millis kept = function->times.run.known() ? kForgetAfter : kForgetUnservedAfter;
-    if (functions_.size() > kMostFunctions) kept = kSweepInterval;
+    Millis retention = function->times.run.known() ? kIdleRetention : kUnservedRetention;
+    if (functions_.size() > kMaxFunctions) retention = kSweepInterval;
     const bool in_use = !function->queue.empty() || !function->instances.empty();
-    if (in_use || now - function->last_seen <= kept) return false;
+    if (in_use || now - function->last_seen <= retention) return false;
     by_id_.erase(function->id);
     return true;
   };
--- a/src/policy/load_order_budget.cpp
+++ b/src/policy/load_order_budget.cpp
@@ -8,12 +8,12 @@
 void LoadOrderBudget::request_arrived(Millis now) {
   if (!is_limited()) return;
   requests_.push_back(now);
-  forget_requests(now);
+  expire_requests(now);
 }
 
 double LoadOrderBudget::limit(Millis now) {
   if (!is_limited()) return std::numeric_limits<double>::infinity();
-  forget_requests(now);
+  expire_requests(now);
   return settings_.load_floor + settings_.load_ratio * static_cast<double>(requests_.size());
 }
 
@@ -27,11 +27,11 @@
 }
 
 void LoadOrderBudget::order_not_sent(Millis sent_at) {
-  const auto counted = std::find(orders_.begin(), orders_.end(), sent_at);
-  if (counted != orders_.end()) orders_.erase(counted);
+  const auto found = std::find(orders_.begin(), orders_.end(), sent_at);
+  if (found != orders_.end()) orders_.erase(found);
 }
 
-void LoadOrderBudget::forget_requests(Millis now) {
+void LoadOrderBudget::expire_requests(Millis now) {
   while (!requests_.empty() && now - requests_.front() >= settings_.load_window) requests_.pop_front();
 }
 
--- a/src/policy/load_order_budget.h
+++ b/src/policy/load_order_budget.h
@@ -32,7 +32,7 @@
   std::deque<Millis> orders_;
 
   bool is_limited() const { return settings_.load_window.count() > 0; }
-  void forget_requests(Millis now);
+  void expire_requests(Millis now);
 };
 
 }  // namespace pathstack::policy
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -10,29 +10,29 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kLeastDemandSpan{
+constexpr Millis kMinDemandWindow{
     1000};  // arrivals are averaged over at least this: a first second tells little
 constexpr double kRequestsPerReplica = 2;  // of one function in service at once that one worker should serve
-constexpr double kMostReplicas = 1000;
+constexpr double kMaxReplicas = 1000;
 constexpr std::uint64_t kOtherZoneOffset = std::numeric_limits<std::uint64_t>::max() / 2;
 
 }  // namespace
 
 double Placement::demand(const Function& function, Millis now) const {
-  const Millis span = std::min(kDemandTimeConstant, std::max(kLeastDemandSpan, now - function.first_seen));
-  const double lately = function.arrivals * decay(now, function.last_seen, kDemandTimeConstant);
-  return std::max(0.0, lately - 1) / span.count() * times_.unloaded_run(function.times);
+  const Millis window = std::min(kDemandTimeConstant, std::max(kMinDemandWindow, now - function.first_seen));
+  const double recent_arrivals = function.arrivals * decay(now, function.last_seen, kDemandTimeConstant);
+  return std::max(0.0, recent_arrivals - 1) / window.count() * times_.unloaded_run(function.times);
 }
 
-int Placement::replicas_for(const Function& function, Millis now) const {
-  const double each = std::min(kRequestsPerReplica, function.slots / 2.0);
+int Placement::replica_count(const Function& function, Millis now) const {
+  const double demand_per_replica = std::min(kRequestsPerReplica, function.slots / 2.0);
   const double fleet_demand = demand(function, now) * settings_.invokers / reports_.own_share(now);
-  return 1 + static_cast<int>(std::min(kMostReplicas, fleet_demand / each));
+  return 1 + static_cast<int>(std::min(kMaxReplicas, fleet_demand / demand_per_replica));
 }
 
 void Placement::update(Function& function, Millis now) const {
   Candidates& candidates = function.candidates;
-  const int replicas = replicas_for(function, now);
+  const int replicas = replica_count(function, now);
   const int list_version = workers_.list_version();
   if (candidates.list_version == list_version && candidates.replicas == replicas) return;
   std::vector<std::pair<std::uint64_t, WorkerIndex>> order;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -31,7 +31,7 @@
 
   /// Requests of this invoker for the function that are in service at once.
   double demand(const Function& function, Millis now) const;
-  int replicas_for(const Function& function, Millis now) const;
+  int replica_count(const Function& function, Millis now) const;
 };
 
 }  // namespace pathstack::policy
--- a/src/policy/service_times.cpp
+++ b/src/policy/service_times.cpp
@@ -5,18 +5,18 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr double kRunGain = 0.1;      // about the last ten answers
-constexpr double kLoadGain = 0.3;     // loads are few
-constexpr double kSharedGain = 0.25;  // part of these gains for averages over a class or all functions
-constexpr double kOutlier = 4;        // one sample counts at most as this many times the average
-constexpr double kUnloadedGrowth =
-    1.002;                         // the unloaded run may grow this much an answer: work changes in time
-constexpr int kRunsToTrust = 5;    // with fewer runs a function is taken as its class
-constexpr double kSilentRuns = 6;  // this many usual runs without an answer are silence
-constexpr double kLongLoads = 3;   // a load this many times the usual is no longer waited for
-
-void follow_least(double& least, double run) {
-  least = least > 0 ? std::min(least * kUnloadedGrowth, run) : run;
+constexpr double kRunGain = 0.1;            // about the last ten answers
+constexpr double kLoadGain = 0.3;           // loads are few
+constexpr double kSharedGainFactor = 0.25;  // part of these gains for averages over a class or all functions
+constexpr double kMaxSampleRatio = 4;       // one sample counts at most as this many times the average
+constexpr double kUnloadedRunGrowth =
+    1.002;                           // the unloaded run may grow this much an answer: work changes in time
+constexpr int kMinFunctionRuns = 5;  // with fewer runs a function is taken as its class
+constexpr double kRunTimeoutMultiple = 6;   // this many usual runs without an answer are silence
+constexpr double kLoadTimeoutMultiple = 3;  // a load this many times the usual is no longer waited for
+
+void update_minimum(double& minimum, double run) {
+  minimum = minimum > 0 ? std::min(minimum * kUnloadedRunGrowth, run) : run;
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
 }
 
 double ServiceTimes::unloaded_run(const FunctionTimes& function) const {
-  if (function.run.samples >= kRunsToTrust) return function.unloaded_run;
+  if (function.run.samples >= kMinFunctionRuns) return function.unloaded_run;
   const double of_class = class_unloaded_run(function.class_index);
   return of_class > 0 ? of_class : run(function);
 }
@@ -51,32 +51,32 @@
 }
 
 Millis ServiceTimes::run_timeout(double run) const {
-  return std::max(kMinStallTime, Millis(run * kSilentRuns));
+  return std::max(kMinStallTime, Millis(run * kRunTimeoutMultiple));
 }
 
 Millis ServiceTimes::load_timeout(double load) const {
   // Before any sample a load is taken as two latency objectives where invokers load by sending.
   const bool known = load > 0 || !has_many_invokers(settings_);
-  return Millis(kLongLoads * (known ? load : 2 * shortest_objective_));
+  return Millis(kLoadTimeoutMultiple * (known ? load : 2 * shortest_objective_));
 }
 
 Millis ServiceTimes::order_timeout(const FunctionTimes& function) const {
-  return Millis(kLongLoads * std::max(load(function), kMinStallTime.count()));
+  return Millis(kLoadTimeoutMultiple * std::max(load(function), kMinStallTime.count()));
 }
 
 void ServiceTimes::record_run(FunctionTimes& function, int class_index, double elapsed) {
-  function.run.add(elapsed, kRunGain, kOutlier);
-  all_runs_.add(elapsed, kRunGain * kSharedGain, kOutlier);
-  follow_least(function.unloaded_run, function.run.value);
+  function.run.add(elapsed, kRunGain, kMaxSampleRatio);
+  all_runs_.add(elapsed, kRunGain * kSharedGainFactor, kMaxSampleRatio);
+  update_minimum(function.unloaded_run, function.run.value);
   if (class_index < 0) return;
-  ClassTimes& of_class = classes_[class_slot(class_index)];
-  of_class.run.add(elapsed, kRunGain * kSharedGain, kOutlier);
-  follow_least(of_class.unloaded_run, of_class.run.value);
+  ClassTimes& class_times = classes_[class_slot(class_index)];
+  class_times.run.add(elapsed, kRunGain * kSharedGainFactor, kMaxSampleRatio);
+  update_minimum(class_times.unloaded_run, class_times.run.value);
 }
 
 void ServiceTimes::record_load(FunctionTimes& function, double elapsed) {
-  function.load.add(elapsed, kLoadGain, kOutlier);
-  all_loads_.add(elapsed, kLoadGain * kSharedGain, kOutlier);
+  function.load.add(elapsed, kLoadGain, kMaxSampleRatio);
+  all_loads_.add(elapsed, kLoadGain * kSharedGainFactor, kMaxSampleRatio);
 }
 
 }  // namespace pathstack::policy
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -5,10 +5,10 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr int kMostLoadsInFlight = 4;  // an invoker's orders at once: more make a slow store slower
-constexpr double kRetrySameCost = 4;   // the worker of the last attempt counts as so many times busier
+constexpr int kMaxLoadsInFlight = 4;        // an invoker's orders at once: more make a slow store slower
+constexpr double kSameWorkerRetryCost = 4;  // the worker of the last attempt counts as so many times busier
 /// Past so many times the agreed replicas a request does not overflow to further workers.
-constexpr int kOverflowReplicas = 1;
+constexpr int kMaxReplicaMultiple = 1;
 
 }  // namespace
 
@@ -39,9 +39,9 @@
   for (const Instance& instance : function.instances) {
     if (!may_use(function, next, instance.worker, now)) continue;
     const int loaded = functions_.is_warm(instance, now) ? instance.loaded : 0;
-    const int of_instances = (loaded + instance.loading) * function.slots;
-    const int of_worker = instance.in_flight + limits_.free_slots(instance.worker);
-    slots += std::min(of_instances, of_worker);
+    const int instance_slots = (loaded + instance.loading) * function.slots;
+    const int worker_slots = instance.in_flight + limits_.free_slots(instance.worker);
+    slots += std::min(instance_slots, worker_slots);
   }
   return slots;
 }
@@ -54,17 +54,17 @@
 
 Instance* WorkerSelector::warm_instance(Function& function, const Request& request, Millis now) {
   Instance* best = nullptr;
-  double least = 0;
+  double lowest_cost = 0;
   for (Instance& instance : function.instances) {
     const WorkerIndex worker = instance.worker;
     if (!has_free_slot(function, instance, now)) continue;
     if (!admission_.is_worth_sending(request, worker, now)) continue;
     if (!retries_.may_send(request, worker, now)) continue;
     const bool was_tried = !request.attempts.empty() && request.attempts.back().worker == worker;
-    const double cost = limits_.cost(worker, now) * (was_tried ? kRetrySameCost : 1);
-    if (best != nullptr && cost >= least) continue;
+    const double cost = limits_.cost(worker, now) * (was_tried ? kSameWorkerRetryCost : 1);
+    if (best != nullptr && cost >= lowest_cost) continue;
     best = &instance;
-    least = cost;
+    lowest_cost = cost;
   }
   return best;
 }
@@ -74,15 +74,16 @@
   placement_.update(function, now);
   // Requests that overflow to workers past the replicas load instances that push out others. Workers that are
   // unusable or warming up do not count as replicas that were met.
-  const Millis loaded_run(times_.load(function.times) + times_.unloaded_run(function.times));
-  const bool in_time = now + loaded_run <= next.objective_at;
+  const Millis load_and_run(times_.load(function.times) + times_.unloaded_run(function.times));
+  const bool in_time = now + load_and_run <= next.objective_at;
   const bool may_overflow = !has_many_invokers(settings_) || settings_.rejects_on_miss || in_time;
   const int class_index = function.times.class_index;
-  int met = 0;
+  int replicas_seen = 0;
   for (const WorkerIndex worker : function.candidates.order) {
-    if (!may_overflow && met > kOverflowReplicas * function.candidates.replicas) return std::nullopt;
+    if (!may_overflow && replicas_seen > kMaxReplicaMultiple * function.candidates.replicas)
+      return std::nullopt;
     const bool healthy = outliers_.is_usable(worker, now) && outliers_.serves_class(worker, class_index, now);
-    if (healthy && !slow_start_.is_warming_up(worker, now)) ++met;
+    if (healthy && !slow_start_.is_warming_up(worker, now)) ++replicas_seen;
     if (healthy && is_load_candidate(function, next, worker, now)) return worker;
   }
   return std::nullopt;
@@ -102,7 +103,7 @@
 
 bool WorkerSelector::may_load(WorkerIndex worker, Millis now) const {
   if (!outliers_.is_usable(worker, now) || limits_.is_backing_off(worker, now)) return false;
-  return functions_.loads_in_flight() < kMostLoadsInFlight;
+  return functions_.loads_in_flight() < kMaxLoadsInFlight;
 }
 
 }  // namespace pathstack::policy
--- a/src/simulator_adapter/action_encoder.cpp
+++ b/src/simulator_adapter/action_encoder.cpp
@@ -16,7 +16,7 @@
 }
 
 /// The addressee of a message to one peer, or to all.
-json addressee(const action::SendPeerMessage& message) { return message.to ? json(*message.to) : json("*"); }
+json recipient(const action::SendPeerMessage& message) { return message.to ? json(*message.to) : json("*"); }
 
 struct Encoder {
   json operator()(const action::Send& a) const {
@@ -33,7 +33,7 @@
   json operator()(const action::Cancel& a) const { return command("Recall", {a.id, a.attempt}); }
   json operator()(const action::Probe& a) const { return command("Touch", {a.worker}); }
   json operator()(const action::SendPeerMessage& a) const {
-    return command("Publish", {addressee(a), a.text});
+    return command("Publish", {recipient(a), a.text});
   }
   json operator()(const action::SetTimer& a) const { return command("Timer", {a.after.count(), a.token}); }
   json operator()(const action::RequestList& a) const { return command("Subscribe", {a.on}); }
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -19,11 +19,11 @@
   json batch;
   try {
     batch = json::parse(line);
-  } catch (const json::exception&) { throw WireError("a line is no JSON"); }
-  if (!batch.is_object()) throw WireError("a batch is no object");
-  if (!key(batch, "Time").is_number()) throw WireError("a batch without Time");
-  if (!key(batch, "n").is_number()) throw WireError("a batch without n");
-  if (!key(batch, "routers").is_array()) throw WireError("a batch without routers");
+  } catch (const json::exception&) { throw ProtocolError("a line is no JSON"); }
+  if (!batch.is_object()) throw ProtocolError("a batch is no object");
+  if (!key(batch, "Time").is_number()) throw ProtocolError("a batch without Time");
+  if (!key(batch, "n").is_number()) throw ProtocolError("a batch without n");
+  if (!key(batch, "routers").is_array()) throw ProtocolError("a batch without routers");
   return batch;
 }
 
@@ -40,14 +40,14 @@
 
 }  // namespace
 
-std::string Adapter::reply(const std::string& line) {
+std::string Adapter::handle_batch(const std::string& line) {
   const json batch = parse_batch(line);
   const policy::Millis now = config::millis(key(batch, "Time"));
   json groups = json::array();
   for (const auto& group : key(batch, "routers")) {
     const std::string& name = required_text(key(group, "Router"), "Router");
     const json& inbox = key(group, "inbox");
-    if (!inbox.is_array()) throw WireError("a router without inbox");
+    if (!inbox.is_array()) throw ProtocolError("a router without inbox");
     json commands = handle_inbox(invokers_[name], now, inbox);
     if (commands.empty()) continue;
     groups.push_back({{"Router", name}, {"cmds", std::move(commands)}});
@@ -65,7 +65,7 @@
 
 void Adapter::handle(Invoker& invoker, policy::Millis now, const json& message,
                      std::vector<policy::Action>& actions) {
-  if (!message.is_array() || message.empty()) throw WireError("a message is no array with a name");
+  if (!message.is_array() || message.empty()) throw ProtocolError("a message is no array with a name");
   const std::string& name = required_text(message[0], "message name");
   if (name == "Catalog") return catalog_.read_page(message);
   if (name == "Init") {
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -19,8 +19,9 @@
 class Adapter {
  public:
   /// Hands a batch to the invokers that it names, in its order, and returns their commands as a line. Throws
-  /// WireError if the line breaks the wire's form. Cost: the size of the batch and the work of the module.
-  std::string reply(const std::string& line);
+  /// ProtocolError if the line breaks the wire's form. Cost: the size of the batch and the work of the
+  /// module.
+  std::string handle_batch(const std::string& line);
 
  private:
   struct Invoker {
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -25,17 +25,17 @@
 
 // The remark of an answer: the function's warmth in the low bits, above them the crowd.
 constexpr int kWarmthMask = 7;
-constexpr int kCrowdShift = 3;
+constexpr int kConcurrentCallsShift = 3;
 
 constexpr int kReadyState = 2;  // of a list entry, also where none is given
 
 policy::Outcome decode_outcome(const json& value) {
   using policy::Outcome;
-  static const std::map<std::string, Outcome> kWords = {
+  static const std::map<std::string, Outcome> kOutcomes = {
       {"GOOD", Outcome::ok},      {"BAD", Outcome::error}, {"FULL", Outcome::full},
       {"LATE", Outcome::timeout}, {"RST", Outcome::reset}, {"NOCONN", Outcome::connect_failed},
       {"NOP", Outcome::moot},     {"MISS", Outcome::miss}, {"CXL", Outcome::cancelled}};
-  return config::word(text(value), kWords, Outcome::error);
+  return config::word(text(value), kOutcomes, Outcome::error);
 }
 
 policy::Warmth decode_warmth(int remark) {
@@ -61,7 +61,7 @@
 }
 
 policy::WorkerEntry decode_worker_entry(const json& row) {
-  if (!row.is_array()) throw WireError("a list entry is no array");
+  if (!row.is_array()) throw ProtocolError("a list entry is no array");
   policy::WorkerEntry entry;
   entry.worker = required_text(at(row, 0), "worker");
   entry.cell = whole(at(row, 1));
@@ -82,7 +82,7 @@
   }
 }
 
-policy::Event decode_list(const json& message, const Catalog& catalog) {
+policy::Event decode_worker_list(const json& message, const Catalog& catalog) {
   event::WorkerList list;
   list.kind = decode_list_kind(at(message, 2));
   if (list.kind == policy::ListKind::failed) return list;
@@ -109,12 +109,12 @@
   return request;
 }
 
-policy::Event decode_answer(const json& message) {
+policy::Event decode_attempt_ended(const json& message) {
   event::AttemptEnded answer;
   answer.id = required_text(at(message, 1), "request id");
   const int remark = whole(at(message, 2));
   answer.warmth = decode_warmth(remark);
-  answer.concurrent_calls = remark >> kCrowdShift;
+  answer.concurrent_calls = remark >> kConcurrentCallsShift;
   answer.outcome = decode_outcome(at(message, 3));
   answer.request_finished = flag(at(message, 4));
   answer.elapsed = millis(at(message, 5));
@@ -126,7 +126,7 @@
 
 policy::Event decode_timer(const json& message) { return event::Timer{large(at(message, 1))}; }
 
-policy::Event decode_loaded(const json& message) {
+policy::Event decode_load_ended(const json& message) {
   event::LoadEnded loaded;
   loaded.worker = text(at(message, 1));
   loaded.function = large(at(message, 2));
@@ -136,13 +136,15 @@
   return loaded;
 }
 
-policy::Event decode_left(const json& message) { return event::RequestAbandoned{text(at(message, 1))}; }
+policy::Event decode_request_abandoned(const json& message) {
+  return event::RequestAbandoned{text(at(message, 1))};
+}
 
-policy::Event decode_stream_began(const json& message) {
+policy::Event decode_stream_started(const json& message) {
   return event::StreamStarted{text(at(message, 1)), whole(at(message, 2))};
 }
 
-policy::Event decode_probed(const json& message) {
+policy::Event decode_probe_ended(const json& message) {
   event::ProbeEnded probed;
   probed.outcome = decode_outcome(at(message, 1));
   probed.elapsed = millis(at(message, 2));
@@ -151,7 +153,7 @@
   return probed;
 }
 
-policy::Event decode_peer(const json& message) {
+policy::Event decode_peer_message(const json& message) {
   return event::PeerMessage{whole(at(message, 1)), text(at(message, 2))};
 }
 
@@ -161,23 +163,28 @@
 
 /// The decoders by the names of their messages; `Discovery` is read apart, as it needs the catalog.
 const std::map<std::string, Decoder>& decoders() {
-  static const std::map<std::string, Decoder> kByName = {
-      {"Order", decode_request},    {"Result", decode_answer}, {"Ring", decode_timer},
-      {"BroughtUp", decode_loaded}, {"Gone", decode_left},     {"HeadReceived", decode_stream_began},
-      {"Sampled", decode_probed},   {"Heard", decode_peer},    {"PowerOff", decode_stop}};
+  static const std::map<std::string, Decoder> kByName = {{"Order", decode_request},
+                                                         {"Result", decode_attempt_ended},
+                                                         {"Ring", decode_timer},
+                                                         {"BroughtUp", decode_load_ended},
+                                                         {"Gone", decode_request_abandoned},
+                                                         {"HeadReceived", decode_stream_started},
+                                                         {"Sampled", decode_probe_ended},
+                                                         {"Heard", decode_peer_message},
+                                                         {"PowerOff", decode_stop}};
   return kByName;
 }
 
 }  // namespace
 
 const std::string& required_text(const json& value, const char* what) {
-  if (!value.is_string()) throw WireError(std::string("no ") + what + " where one is needed");
+  if (!value.is_string()) throw ProtocolError(std::string("no ") + what + " where one is needed");
   return value.get_ref<const std::string&>();
 }
 
 void Catalog::read_page(const json& message) {
   const double page = number(at(message, 1), -1);
-  if (find(page) == nullptr) throw WireError("no such catalog page");
+  if (find(page) == nullptr) throw ProtocolError("no such catalog page");
   std::vector<policy::WorkerEntry> entries;
   for (const auto& row : at(message, 2)) entries.push_back(decode_worker_entry(row));
   pages_[static_cast<std::size_t>(page)] = std::move(entries);
@@ -190,7 +197,7 @@
 
 std::optional<policy::Event> decode_event(const json& message, const Catalog& catalog) {
   const std::string& name = required_text(at(message, 0), "message name");
-  if (name == "Discovery") return decode_list(message, catalog);
+  if (name == "Discovery") return decode_worker_list(message, catalog);
   const auto found = decoders().find(name);
   if (found == decoders().end()) return std::nullopt;
   return found->second(message);
--- a/src/simulator_adapter/event_decoder.h
+++ b/src/simulator_adapter/event_decoder.h
@@ -14,15 +14,15 @@
 namespace pathstack::simulator_adapter {
 
 /// A line that breaks the wire's form; the message names the fault.
-struct WireError : std::runtime_error {
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 /// Pages of the simulator's catalog: the endpoint lists that discovery messages refer to by number.
 class Catalog {
  public:
-  /// Reads a message `Catalog`: replaces one page. Throws WireError for an unknown page or a malformed row.
-  /// Cost: the number of rows.
+  /// Reads a message `Catalog`: replaces one page. Throws ProtocolError for an unknown page or a malformed
+  /// row. Cost: the number of rows.
   void read_page(const nlohmann::json& message);
 
   /// The page of that number, or nothing if there is no such page.
@@ -35,11 +35,11 @@
 };
 
 /// Reads one message to a running invoker, a JSON array that begins with its name. Nothing if the name is
-/// unknown. Values that are absent or of another type read as their defaults; throws WireError where there is
-/// no default. Cost: the size of the message, and that of a list it refers to.
+/// unknown. Values that are absent or of another type read as their defaults; throws ProtocolError where
+/// there is no default. Cost: the size of the message, and that of a list it refers to.
 std::optional<policy::Event> decode_event(const nlohmann::json& message, const Catalog& catalog);
 
-/// `value` as text; throws WireError if it is not text.
+/// `value` as text; throws ProtocolError if it is not text.
 const std::string& required_text(const nlohmann::json& value, const char* what);
 
 }  // namespace pathstack::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -13,7 +13,7 @@
   while (std::getline(std::cin, line)) {
     if (line.empty()) continue;
     try {
-      std::cout << adapter.reply(line) << std::endl;
+      std::cout << adapter.handle_batch(line) << std::endl;
     } catch (const std::exception& fault) {
       std::cerr << "pathstack-simulator-adapter: " << fault.what() << '\n';
       return 1;
--- a/tests/replay/fleet_simulation.cpp
+++ b/tests/replay/fleet_simulation.cpp
@@ -58,7 +58,7 @@
   if (groups.empty()) return;
   const std::string round =
       Json{{"Time", to_millis(now_)}, {"n", ++round_}, {"routers", std::move(groups)}}.dump();
-  const std::string line = adapter_.reply(round);
+  const std::string line = adapter_.handle_batch(round);
   const Json reply = Json::parse(line);
   summary.add_reply(line, reply);
   if (observer) observer(round, line);
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -85,7 +85,7 @@
   simulator_adapter::Adapter adapter;
   int different = 0;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
-    const std::string reply = adapter.reply(rounds[i]);
+    const std::string reply = adapter.handle_batch(rounds[i]);
     if (recorded.is_open()) recorded << reply << '\n';
     if (reply == expected[i]) continue;
     if (++different == 1) FAIL_CHECK("round " << i << ": " << reply << "\nexpected: " << expected[i]);
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -19,14 +19,14 @@
 
 TEST_CASE("Wire: answers an empty batch", "[wire]") {
   Adapter adapter;
-  CHECK(adapter.reply(R"({"Time":1,"n":7,"routers":[]})") == R"({"n":7,"routers":[]})");
+  CHECK(adapter.handle_batch(R"({"Time":1,"n":7,"routers":[]})") == R"({"n":7,"routers":[]})");
 }
 
 TEST_CASE("Wire: carries a request to a worker and back", "[wire]") {
   Adapter adapter;
-  adapter.reply(kInit);
+  adapter.handle_batch(kInit);
   const auto out = nlohmann::json::parse(
-      adapter.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
+      adapter.handle_batch(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
   const auto& cmds = out["routers"][0]["cmds"];
   REQUIRE(cmds.size() == 2U);
   CHECK(cmds[0][0] == "Timer");
@@ -35,8 +35,8 @@
 
 TEST_CASE("Wire: passes over the unknown and the ended", "[wire]") {
   Adapter adapter;
-  adapter.reply(kInit);
-  const auto out = adapter.reply(
+  adapter.handle_batch(kInit);
+  const auto out = adapter.handle_batch(
       batch(R"(["Novelty",1],["Ring",99],["Gone","t/none"],["BroughtUp","x:1",3,"GOOD",1,1],)"
             R"(["Result","t/none",null,"GOOD",true,1,0,"h:1",null],["Sampled","GOOD",1,"q:9",[1]])"));
   CHECK(out == R"({"n":2,"routers":[]})");
@@ -44,8 +44,8 @@
 
 TEST_CASE("Wire: instances share nothing", "[wire]") {
   Adapter adapter;
-  adapter.reply(kInit);
-  const auto out = adapter.reply(
+  adapter.handle_batch(kInit);
+  const auto out = adapter.handle_batch(
       R"({"Time":1010,"n":2,"routers":[{"Router":"router_1","inbox":[["Order","t/b","c",null,null,0,1,2,null,9,1]]}]})");
   CHECK(out == R"({"n":2,"routers":[]})");
 }
@@ -59,7 +59,7 @@
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",0,[[5]]]]}]})"}) {
     Adapter adapter;
     UNSCOPED_INFO(line);
-    CHECK_THROWS_AS(adapter.reply(line), WireError);
+    CHECK_THROWS_AS(adapter.handle_batch(line), ProtocolError);
   }
 }
 
