--- a/src/policy/function_table.cpp
+++ b/src/policy/function_table.cpp
@@ -5,10 +5,10 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kIdleRetention{60000};      // functions that nobody requested in this time are dropped
-constexpr Millis kUnservedRetention{5000};   // those that no worker has served yet
-constexpr std::size_t kMaxFunctions = 4096;  // beyond so many, as soon as nothing holds them
-constexpr int kMaxSlots = 1024;
+constexpr Millis kIdleRetention{60000};      // a function is pruned this long after its last request
+constexpr Millis kUnservedRetention{5000};   // the same for a function that no worker has served
+constexpr std::size_t kMaxFunctions = 4096;  // above this number, functions are pruned once unused
+constexpr int kMaxSlots = 1024;              // bounds the concurrency that a request may state
 
 }  // namespace
 
--- a/src/policy/load_order_budget.h
+++ b/src/policy/load_order_budget.h
@@ -1,4 +1,4 @@
-// How many load orders the platform allows.
+/// Limits the rate of load orders to what the platform allows.
 #pragma once
 
 #include <deque>
@@ -7,23 +7,25 @@
 
 namespace pathstack::policy {
 
-/// The platform's rule 5: orders within the window, the next one included, number at most a floor plus a
-/// ratio of the requests taken in that window. Kept by the time of decisions; src/core/load_budget.h keeps it
-/// once more by the time of writing.
+/// The platform's rule 5: within any window, the number of load orders, including the next one, is at most
+/// `Settings::load_floor` plus `Settings::load_ratio` for each request received in that window. Orders count
+/// from the time of the decision; src/core/load_budget.h enforces the same rule from the time of writing to
+/// the connection.
 ///
-/// Owned by Policy, asked by Scheduler. Amortised O(1); holds the times of one window.
+/// Owned by Policy, queried by Scheduler and LeaseRenewal. Amortised O(1); stores the request and order times
+/// of one window.
 class LoadOrderBudget {
  public:
   explicit LoadOrderBudget(const Settings& settings) : settings_(settings) {}
 
   void request_arrived(Millis now);
   bool allows_order(Millis now) { return remaining(now) >= 1; }
-  /// Orders allowed within the window; infinite where there is no limit.
+  /// Number of orders allowed in the current window; infinite if there is no limit.
   double limit(Millis now);
-  /// Of these, what is left.
+  /// `limit` minus the orders already sent in the current window.
   double remaining(Millis now);
   void order_sent(Millis now);
-  /// The order of this time did not leave: it counts for nothing.
+  /// The order sent at `sent_at` failed locally before it left this machine and no longer counts.
   void order_not_sent(Millis sent_at);
 
  private:
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -10,10 +10,14 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kMinDemandWindow{
-    1000};  // arrivals are averaged over at least this: a first second tells little
-constexpr double kRequestsPerReplica = 2;  // of one function in service at once that one worker should serve
+/// Shortest time over which arrivals are averaged: the arrivals of a function's first second are too few to
+/// estimate a rate.
+constexpr Millis kMinDemandWindow{1000};
+/// Number of concurrent requests for one function that one worker should serve.
+constexpr double kRequestsPerReplica = 2;
 constexpr double kMaxReplicas = 1000;
+/// Added to the sort keys of workers in other zones; keys are halved before, so that the sum does not
+/// overflow.
 constexpr std::uint64_t kOtherZoneOffset = std::numeric_limits<std::uint64_t>::max() / 2;
 
 }  // namespace
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -1,4 +1,4 @@
-// Which workers a function should be loaded at.
+/// Chooses the workers at which a function should be loaded.
 #pragma once
 
 #include "policy/common.h"
@@ -8,19 +8,19 @@
 
 namespace pathstack::policy {
 
-/// Rendezvous hashing: all invokers agree on the few replicas of a function, by ids alone; each has an order
-/// of its own among these, its own zone first. Behind the replicas come the other workers, in the order of
-/// their hashes.
+/// Rendezvous hashing over the ids of the function and the workers: all invokers choose the same few replicas
+/// of a function without communicating. Each invoker orders these replicas differently, those in its own zone
+/// first. The other workers follow the replicas, in the order of their hashes.
 ///
-/// Owned by Policy, called by WorkerSelector. update is O(1) while neither the list nor the number of
-/// replicas has changed, else O(workers x log workers).
+/// Owned by Policy, called by WorkerSelector. update is O(1) if neither the list of workers nor the number of
+/// replicas has changed, otherwise O(workers x log workers).
 class Placement {
  public:
   Placement(const Settings& settings, const WorkerTable& workers, const ServiceTimes& times,
             const LoadReports& reports)
       : settings_(settings), workers_(workers), times_(times), reports_(reports) {}
 
-  /// Brings the candidates of the function up to date.
+  /// Recomputes the candidates of the function if the list of workers or the number of replicas has changed.
   void update(Function& function, Millis now) const;
 
  private:
@@ -29,7 +29,7 @@
   const ServiceTimes& times_;
   const LoadReports& reports_;
 
-  /// Requests of this invoker for the function that are in service at once.
+  /// Mean number of requests of this invoker for the function that run at the same time.
   double demand(const Function& function, Millis now) const;
   int replica_count(const Function& function, Millis now) const;
 };
--- a/src/policy/service_times.cpp
+++ b/src/policy/service_times.cpp
@@ -5,15 +5,16 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr double kRunGain = 0.1;            // about the last ten answers
-constexpr double kLoadGain = 0.3;           // loads are few
-constexpr double kSharedGainFactor = 0.25;  // part of these gains for averages over a class or all functions
-constexpr double kMaxSampleRatio = 4;       // one sample counts at most as this many times the average
-constexpr double kUnloadedRunGrowth =
-    1.002;                           // the unloaded run may grow this much an answer: work changes in time
-constexpr int kMinFunctionRuns = 5;  // with fewer runs a function is taken as its class
-constexpr double kRunTimeoutMultiple = 6;   // this many usual runs without an answer are silence
-constexpr double kLoadTimeoutMultiple = 3;  // a load this many times the usual is no longer waited for
+constexpr double kRunGain = 0.1;            // averages over about the last ten answers
+constexpr double kLoadGain = 0.3;           // higher than kRunGain because loads are rare
+constexpr double kSharedGainFactor = 0.25;  // scales both gains for averages over a class or all functions
+constexpr double kMaxSampleRatio = 4;       // limits a sample to this multiple of the average
+/// Factor by which the unloaded run time may grow with each answer, because the work of a function changes
+/// over time.
+constexpr double kUnloadedRunGrowth = 1.002;
+constexpr int kMinFunctionRuns = 5;         // with fewer runs the times of the class are used
+constexpr double kRunTimeoutMultiple = 6;   // of the usual run time
+constexpr double kLoadTimeoutMultiple = 3;  // of the usual load time
 
 void update_minimum(double& minimum, double run) {
   minimum = minimum > 0 ? std::min(minimum * kUnloadedRunGrowth, run) : run;
@@ -55,7 +56,8 @@
 }
 
 Millis ServiceTimes::load_timeout(double load) const {
-  // Before any sample a load is taken as two latency objectives where invokers load by sending.
+  // With many invokers the request itself starts the load at the worker. Until a load time is known, it is
+  // assumed to be twice the shortest latency objective.
   const bool known = load > 0 || !has_many_invokers(settings_);
   return Millis(kLoadTimeoutMultiple * (known ? load : 2 * shortest_objective_));
 }
--- a/src/policy/service_times.h
+++ b/src/policy/service_times.h
@@ -1,4 +1,4 @@
-// Estimates of how long functions run and load.
+/// Estimates how long functions run and load.
 #pragma once
 
 #include <vector>
@@ -8,39 +8,45 @@
 
 namespace pathstack::policy {
 
-/// What is known of the times of one function, in milliseconds.
+/// The measured times of one function, in milliseconds.
 struct FunctionTimes {
   int class_index = -1;
-  Average run;              // R of the paper
-  Average load;             // L of the paper
-  double unloaded_run = 0;  // slow-moving least of R: what a run takes at a worker that is not busy
-  double load_hint = 0;     // usual time of a load as requests state it; 0: not known
+  Average run;              // average run time (R in the paper)
+  Average load;             // average load time (L in the paper)
+  double unloaded_run = 0;  // slowly rising minimum of `run`: the run time at a worker that is not busy
+  double load_hint = 0;     // usual load time as stated by requests; 0: unknown
 };
 
-/// Run and load times, by function where there are samples, else by class, else over all functions.
+/// Run and load times: those of the function if it has samples, otherwise estimates from its class, from the
+/// load time that requests state, or from all functions.
 ///
-/// Owned by Policy; written by OutcomeRecorder, read by nearly all parts. Every call is O(1); one record for
-/// each class. All times are in milliseconds; 0 means that nothing is known yet.
+/// Owned by Policy; written by OutcomeRecorder, read by nearly all components. Every call is O(1); memory is
+/// one record per class. All times are in milliseconds; 0 means that the time is unknown.
 class ServiceTimes {
  public:
   explicit ServiceTimes(const Settings& settings);
 
+  /// Average run time of the function, otherwise of its class.
   double run(const FunctionTimes& function) const;
+  /// Run time at a worker that is not busy: of the function once it has enough samples, otherwise of its
+  /// class, otherwise `run`.
   double unloaded_run(const FunctionTimes& function) const;
+  /// Average load time of the function, otherwise the stated load time, otherwise the average of all
+  /// functions.
   double load(const FunctionTimes& function) const;
 
-  /// Expected work of a request of the class. Before any answer it is a quarter of the class's latency
-  /// objective; never 0.
+  /// Expected run time of a request of the class. Before the class has samples: the larger of the average
+  /// over all functions and a quarter of the class's latency objective. Never 0.
   double work(int class_index) const;
   double class_unloaded_run(int class_index) const { return classes_[class_slot(class_index)].unloaded_run; }
   double mean_run() const { return all_runs_.value; }
   double mean_load() const { return all_loads_.value; }
 
-  /// How long a run of `run` may stay unanswered before its worker counts as silent.
+  /// Time after which an unanswered run with the usual time `run` counts as lost and its worker as stalled.
   Millis run_timeout(double run) const;
-  /// How long a load of `load` is waited for; `load` may be 0, not known.
+  /// Time after which a load with the usual time `load` is no longer waited for; `load` may be 0 (unknown).
   Millis load_timeout(double load) const;
-  /// How long an order may stay unanswered before it counts as failed.
+  /// Time after which an unanswered load order counts as failed.
   Millis order_timeout(const FunctionTimes& function) const;
 
   void record_run(FunctionTimes& function, int class_index, double elapsed);
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -5,9 +5,12 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr int kMaxLoadsInFlight = 4;        // an invoker's orders at once: more make a slow store slower
-constexpr double kSameWorkerRetryCost = 4;  // the worker of the last attempt counts as so many times busier
-/// Past so many times the agreed replicas a request does not overflow to further workers.
+/// Limit on the unanswered load orders of this invoker: more of them would slow down an already slow
+/// function store.
+constexpr int kMaxLoadsInFlight = 4;
+/// The cost of sending a retry to the worker of the last attempt is multiplied by this.
+constexpr double kSameWorkerRetryCost = 4;
+/// Where overflow is restricted, a request may be loaded at workers up to this multiple of the replica count.
 constexpr int kMaxReplicaMultiple = 1;
 
 }  // namespace
@@ -72,8 +75,8 @@
 std::optional<WorkerIndex> WorkerSelector::load_candidate(Function& function, const Request& next,
                                                           Millis now) {
   placement_.update(function, now);
-  // Requests that overflow to workers past the replicas load instances that push out others. Workers that are
-  // unusable or warming up do not count as replicas that were met.
+  // A request that overflows to a worker beyond the replicas loads an instance there, which evicts others.
+  // Workers that are unusable or in slow start do not count as replicas seen.
   const Millis load_and_run(times_.load(function.times) + times_.unloaded_run(function.times));
   const bool in_time = now + load_and_run <= next.objective_at;
   const bool may_overflow = !has_many_invokers(settings_) || settings_.rejects_on_miss || in_time;
--- a/src/policy/worker_selector.h
+++ b/src/policy/worker_selector.h
@@ -1,4 +1,4 @@
-// Chooses the worker for a request: an instance to send to, or a worker to load at.
+/// Chooses the worker for a request: a loaded instance to send the request to, or a worker to load at.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,9 @@
 
 namespace pathstack::policy {
 
-/// Puts together what the other parts say of each worker; changes no state but the budgets of warming
-/// workers, which fill when they are asked for.
+/// Combines the checks of the other components for each worker: health, concurrency limit, slow start,
+/// admission, retries and placement. Changes no state except the cached candidates of the function and
+/// the budgets of workers in slow start, which are refilled when they are queried.
 ///
 /// Owned by Policy, called by Scheduler. usable_slots and warm_instance are O(instances of the function),
 /// load_candidate is O(workers).
@@ -25,18 +26,19 @@
                  const OutlierDetector& outliers, SlowStart& slow_start, const ConcurrencyLimit& limits,
                  const Admission& admission, RetryPolicy& retries, const Placement& placement);
 
-  /// K of the paper, counted in concurrency slots: those of instances loaded or loading that the next request
-  /// of the queue, which must not be empty, may use now. Slots at a worker that is full belong to other
-  /// invokers.
+  /// Number of concurrency slots of loaded or loading instances that `next`, the next request of the
+  /// function's queue, may use now (K in the paper). The queue must not be empty. The slots of an instance
+  /// are limited to the attempts of this invoker there plus the free slots of the worker, because other
+  /// invokers use the rest.
   int usable_slots(const Function& function, const Request& next, Millis now) const;
 
-  /// The instance with a free slot where the request costs least; null if there is none.
+  /// The warm instance with a free slot where the request has the lowest cost; null if there is none.
   Instance* warm_instance(Function& function, const Request& request, Millis now);
 
-  /// The first candidate that may load the function and has no instance of it yet.
+  /// The first candidate that may load the function and has no instance of it yet; empty if there is none.
   std::optional<WorkerIndex> load_candidate(Function& function, const Request& next, Millis now);
 
-  /// A load may begin at the worker.
+  /// Whether a load may begin at the worker.
   bool may_load(WorkerIndex worker, Millis now) const;
 
  private:
