--- a/src/simulator_adapter/action_encoder.cpp
+++ b/src/simulator_adapter/action_encoder.cpp
@@ -15,9 +15,10 @@
   return row;
 }
 
-/// The addressee of a message to one peer, or to all.
+/// The recipient of a gossip message: the rank of an invoker, or "*" for all of them.
 json recipient(const action::SendPeerMessage& message) { return message.to ? json(*message.to) : json("*"); }
 
+/// Encodes each kind of action as the simulator's command.
 struct Encoder {
   json operator()(const action::Send& a) const {
     return command("Assign", {a.id, a.worker, a.timeout.count()});
--- a/src/simulator_adapter/action_encoder.h
+++ b/src/simulator_adapter/action_encoder.h
@@ -1,4 +1,4 @@
-// The decision module's actions in the form of the simulator's wire.
+/// Encodes the decision module's actions as commands of the simulator's protocol.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,8 +7,7 @@
 
 namespace pathstack::simulator_adapter {
 
-/// An action as the simulator takes it: an array that begins with the command's name. Durations are in
-/// milliseconds.
+/// Encodes an action as a JSON array that begins with the name of the command. Durations are in milliseconds.
 nlohmann::json encode_action(const policy::Action& action);
 
 }  // namespace pathstack::simulator_adapter
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -19,11 +19,11 @@
   json batch;
   try {
     batch = json::parse(line);
-  } catch (const json::exception&) { throw ProtocolError("a line is no JSON"); }
-  if (!batch.is_object()) throw ProtocolError("a batch is no object");
-  if (!key(batch, "Time").is_number()) throw ProtocolError("a batch without Time");
-  if (!key(batch, "n").is_number()) throw ProtocolError("a batch without n");
-  if (!key(batch, "routers").is_array()) throw ProtocolError("a batch without routers");
+  } catch (const json::exception&) { throw ProtocolError("line is not valid JSON"); }
+  if (!batch.is_object()) throw ProtocolError("batch is not a JSON object");
+  if (!key(batch, "Time").is_number()) throw ProtocolError("batch has no number under \"Time\"");
+  if (!key(batch, "n").is_number()) throw ProtocolError("batch has no number under \"n\"");
+  if (!key(batch, "routers").is_array()) throw ProtocolError("batch has no array under \"routers\"");
   return batch;
 }
 
@@ -32,7 +32,7 @@
   return policy::event::Start{config::read_settings(at(message, 2), seed)};
 }
 
-/// In one line; bytes that are no UTF-8 are replaced.
+/// Serializes on one line; bytes that are not valid UTF-8 are replaced.
 std::string to_line(const json& value) {
   constexpr int no_indent = -1;
   return value.dump(no_indent, ' ', false, json::error_handler_t::replace);
@@ -47,7 +47,7 @@
   for (const auto& group : key(batch, "routers")) {
     const std::string& name = required_text(key(group, "Router"), "Router");
     const json& inbox = key(group, "inbox");
-    if (!inbox.is_array()) throw ProtocolError("a router without inbox");
+    if (!inbox.is_array()) throw ProtocolError("router has no array under \"inbox\"");
     json commands = handle_inbox(invokers_[name], now, inbox);
     if (commands.empty()) continue;
     groups.push_back({{"Router", name}, {"cmds", std::move(commands)}});
@@ -65,7 +65,8 @@
 
 void Adapter::handle(Invoker& invoker, policy::Millis now, const json& message,
                      std::vector<policy::Action>& actions) {
-  if (!message.is_array() || message.empty()) throw ProtocolError("a message is no array with a name");
+  if (!message.is_array() || message.empty())
+    throw ProtocolError("message is not an array that begins with a name");
   const std::string& name = required_text(message[0], "message name");
   if (name == "Catalog") return catalog_.read_page(message);
   if (name == "Init") {
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,4 +1,5 @@
-// The simulator's side of the decision module: batches of messages go in as JSON lines, commands come out.
+/// Connects the decision module to the simulator: reads batches of messages as JSON lines and returns the
+/// commands of the invokers as JSON lines.
 #pragma once
 
 #include <map>
@@ -11,22 +12,21 @@
 
 namespace pathstack::simulator_adapter {
 
-/// Translates between the simulator's batches and one Policy for each invoker that it plays. No decision is
-/// made here.
+/// Translates between the simulator's batches and one Policy for each simulated invoker. Makes no decisions.
 ///
-/// Owned by `main`; not thread-safe. Holds the catalog and all invokers to the end. Invokers share nothing
-/// but the catalog.
+/// Owned by `main`; not thread-safe. Keeps the catalog and all invokers for its lifetime. Invokers
+/// share nothing except the catalog.
 class Adapter {
  public:
-  /// Hands a batch to the invokers that it names, in its order, and returns their commands as a line. Throws
-  /// ProtocolError if the line breaks the wire's form. Cost: the size of the batch and the work of the
-  /// module.
+  /// Passes the messages of a batch to the invokers that it names, in the order of the batch, and returns
+  /// their commands as one line. Throws ProtocolError if the line is malformed. Cost: proportional to the
+  /// size of the batch, plus the work of the decision module.
   std::string handle_batch(const std::string& line);
 
  private:
   struct Invoker {
     policy::Policy policy;
-    bool running = false;
+    bool running = false;  // between `Init` and `PowerOff`
   };
 
   Catalog catalog_;
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -18,16 +18,17 @@
 using config::whole;
 namespace event = policy::event;
 
-// The flags of a request.
+// Flags of an `Order` message.
 constexpr int kHasCostHint = 1;
 constexpr int kIsRetry = 2;
 constexpr int kIsWrite = 4;
 
-// The remark of an answer: the function's warmth in the low bits, above them the crowd.
+// Third value of a `Result` message: the warmth of the instance in the low bits, above them the number of
+// concurrent calls of the function at the worker.
 constexpr int kWarmthMask = 7;
 constexpr int kConcurrentCallsShift = 3;
 
-constexpr int kReadyState = 2;  // of a list entry, also where none is given
+constexpr int kReadyState = 2;  // state of a list entry, also if the entry states none
 
 policy::Outcome decode_outcome(const json& value) {
   using policy::Outcome;
@@ -61,7 +62,7 @@
 }
 
 policy::WorkerEntry decode_worker_entry(const json& row) {
-  if (!row.is_array()) throw ProtocolError("a list entry is no array");
+  if (!row.is_array()) throw ProtocolError("list entry is not an array");
   policy::WorkerEntry entry;
   entry.worker = required_text(at(row, 0), "worker");
   entry.cell = whole(at(row, 1));
@@ -161,7 +162,7 @@
 
 using Decoder = policy::Event (*)(const json& message);
 
-/// The decoders by the names of their messages; `Discovery` is read apart, as it needs the catalog.
+/// The decoders by message name. `Discovery` is handled separately because it needs the catalog.
 const std::map<std::string, Decoder>& decoders() {
   static const std::map<std::string, Decoder> kByName = {{"Order", decode_request},
                                                          {"Result", decode_attempt_ended},
@@ -178,13 +179,13 @@
 }  // namespace
 
 const std::string& required_text(const json& value, const char* what) {
-  if (!value.is_string()) throw ProtocolError(std::string("no ") + what + " where one is needed");
+  if (!value.is_string()) throw ProtocolError(std::string(what) + " is missing or not a string");
   return value.get_ref<const std::string&>();
 }
 
 void Catalog::read_page(const json& message) {
   const double page = number(at(message, 1), -1);
-  if (find(page) == nullptr) throw ProtocolError("no such catalog page");
+  if (find(page) == nullptr) throw ProtocolError("unknown catalog page");
   std::vector<policy::WorkerEntry> entries;
   for (const auto& row : at(message, 2)) entries.push_back(decode_worker_entry(row));
   pages_[static_cast<std::size_t>(page)] = std::move(entries);
--- a/src/simulator_adapter/event_decoder.h
+++ b/src/simulator_adapter/event_decoder.h
@@ -1,4 +1,4 @@
-// The simulator's messages to an invoker, read as events of the decision module.
+/// Decodes the simulator's messages to an invoker into events of the decision module.
 #pragma once
 
 #include <array>
@@ -13,19 +13,19 @@
 
 namespace pathstack::simulator_adapter {
 
-/// A line that breaks the wire's form; the message names the fault.
+/// Thrown for a line that does not follow the simulator's protocol; the text names the fault.
 struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Pages of the simulator's catalog: the endpoint lists that discovery messages refer to by number.
+/// The pages of the simulator's catalog: the endpoint lists that `Discovery` messages refer to by number.
 class Catalog {
  public:
-  /// Reads a message `Catalog`: replaces one page. Throws ProtocolError for an unknown page or a malformed
-  /// row. Cost: the number of rows.
+  /// Reads a `Catalog` message, which replaces one page. Throws ProtocolError for an unknown page or a
+  /// malformed row. Cost: the number of rows.
   void read_page(const nlohmann::json& message);
 
-  /// The page of that number, or nothing if there is no such page.
+  /// The page with this number; null if the number is out of range.
   const std::vector<policy::WorkerEntry>* find(double page) const;
 
  private:
@@ -34,12 +34,12 @@
   std::array<std::vector<policy::WorkerEntry>, kPages> pages_;
 };
 
-/// Reads one message to a running invoker, a JSON array that begins with its name. Nothing if the name is
-/// unknown. Values that are absent or of another type read as their defaults; throws ProtocolError where
-/// there is no default. Cost: the size of the message, and that of a list it refers to.
+/// Decodes one message to a running invoker, a JSON array that begins with the name of the message. Empty if
+/// the name is unknown. Values that are absent or of the wrong type take their defaults; throws ProtocolError
+/// if there is no default. Cost: proportional to the size of the message and of the list that it refers to.
 std::optional<policy::Event> decode_event(const nlohmann::json& message, const Catalog& catalog);
 
-/// `value` as text; throws ProtocolError if it is not text.
+/// Returns `value` as a string; throws ProtocolError, which names `what`, if it is not a string.
 const std::string& required_text(const nlohmann::json& value, const char* what);
 
 }  // namespace pathstack::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The simulator's process for the decision module: a batch a line on standard input, its reply on standard
-// output. Ends with 1 at the first line that breaks the wire's form.
+/// The process that the simulator runs for the decision module: reads one batch per line from standard input
+/// and writes one reply per line to standard output. Exits with status 1 at the first malformed line.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/tests/policy/function_table_test.cpp
+++ b/tests/policy/function_table_test.cpp
@@ -7,7 +7,8 @@
 namespace pathstack::policy::test {
 namespace {
 
-TEST_CASE("FunctionTable: an instance is warm until the keep alive has passed unused", "[function-table]") {
+TEST_CASE("FunctionTable: an instance stays warm until it is unused for the keep-alive time",
+          "[function-table]") {
   Parts parts;
   Instance& instance = parts.add_function(1).instance_at(0);
   CHECK_FALSE(parts.functions.is_warm(instance, parts.now));
@@ -19,7 +20,7 @@
   CHECK(parts.functions.is_warm(instance, parts.now + 2 * parts.settings.keep_alive));
 }
 
-TEST_CASE("FunctionTable: an order that is not answered ends by itself", "[function-table]") {
+TEST_CASE("FunctionTable: an unanswered load order times out", "[function-table]") {
   Parts parts;
   Function& function = parts.add_function(1);
   parts.times.record_load(function.times, 500);
@@ -31,7 +32,7 @@
   CHECK(function.instances.empty());
 }
 
-TEST_CASE("FunctionTable: instances at a worker are forgotten for all functions", "[function-table]") {
+TEST_CASE("FunctionTable: clearing a worker's instances covers all functions", "[function-table]") {
   Parts parts;
   for (const std::uint64_t id : {1, 2}) {
     Function& function = parts.add_function(id);
@@ -47,7 +48,7 @@
   }
 }
 
-TEST_CASE("FunctionTable: a function is dropped sooner if no worker has served it", "[function-table]") {
+TEST_CASE("FunctionTable: a function that no worker has served is pruned sooner", "[function-table]") {
   Parts parts;
   parts.add_function(1);
   parts.times.record_run(parts.add_function(2).times, 0, 50);
@@ -58,14 +59,14 @@
   CHECK(parts.functions.find(2) == nullptr);
 }
 
-TEST_CASE("FunctionTable: a queued function stays", "[function-table]") {
+TEST_CASE("FunctionTable: a function with queued requests is not pruned", "[function-table]") {
   Parts parts;
   parts.add_function(1).queue.push_back(9);
   parts.functions.prune(parts.now + Millis(1e9));
   CHECK(parts.functions.find(1) != nullptr);
 }
 
-TEST_CASE("FunctionTable: any name may be requested and many are dropped at once", "[function-table]") {
+TEST_CASE("FunctionTable: a large number of functions is pruned at once", "[function-table]") {
   Parts parts;
   for (std::uint64_t id = 1; id <= 5000; ++id) parts.add_function(id);
   parts.functions.prune(parts.now + Millis(100));
--- a/tests/policy/load_order_budget_test.cpp
+++ b/tests/policy/load_order_budget_test.cpp
@@ -22,22 +22,23 @@
   LoadOrderBudget budget{settings};
 };
 
-TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: is a floor and a ratio of the requests of the window",
+TEST_CASE_METHOD(LoadOrderBudgetTest,
+                 "LoadOrderBudget: the limit is a floor plus a ratio of the requests in the window",
                  "[load-order-budget]") {
   CHECK(orders_allowed(Millis(0)) == 2);
   for (int i = 0; i < 30; ++i) budget.request_arrived(Millis(1000));
   CHECK(orders_allowed(Millis(1000)) == 3);
 }
 
-TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: fills as orders leave the window",
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: the budget recovers as orders leave the window",
                  "[load-order-budget]") {
   CHECK(orders_allowed(Millis(0)) == 2);
-  UNSCOPED_INFO("the window's end counts");
+  UNSCOPED_INFO("an order exactly one window old still counts");
   CHECK(orders_allowed(Millis(5000)) == 0);
   CHECK(orders_allowed(Millis(5001)) == 2);
 }
 
-TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: an order that was not sent counts for nothing",
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: an order that was not sent no longer counts",
                  "[load-order-budget]") {
   CHECK(orders_allowed(Millis(7)) == 2);
   budget.order_not_sent(Millis(7));
@@ -46,7 +47,7 @@
   CHECK(orders_allowed(Millis(8)) == 0);
 }
 
-TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: has no limit without a window",
+TEST_CASE_METHOD(LoadOrderBudgetTest, "LoadOrderBudget: without a window there is no limit",
                  "[load-order-budget]") {
   settings.load_window = Millis(0);
   for (int i = 0; i < 1000; ++i) budget.order_sent(Millis(0));
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -31,14 +31,14 @@
   return function.candidates.order;
 }
 
-TEST_CASE("Placement: invokers agree on the replicas and each has an order of its own", "[placement]") {
+TEST_CASE("Placement: invokers choose the same replicas and each orders them differently", "[placement]") {
   std::set<std::set<WorkerIndex>> sets;
   std::set<WorkerIndex> firsts;
   for (int rank = 0; rank < 20; ++rank) {
     int replicas = 0;
     const auto order = candidates(rank, 2, replicas);
     REQUIRE(order.size() == 20U);
-    UNSCOPED_INFO("ten requests in service in the whole fleet, one for each replica, and one more");
+    UNSCOPED_INFO("ten concurrent requests in the whole fleet, one per replica, plus one replica");
     REQUIRE(replicas == 11);
     sets.insert(std::set<WorkerIndex>(order.begin(), order.begin() + replicas));
     firsts.insert(order.front());
@@ -47,14 +47,14 @@
   CHECK(firsts.size() > 3U);
 }
 
-TEST_CASE("Placement: a function seldom requested has one replica", "[placement]") {
+TEST_CASE("Placement: a rarely requested function has one replica", "[placement]") {
   int replicas = 0;
   const auto first = candidates(0, 1, replicas).front();
   CHECK(replicas == 1);
   CHECK(candidates(7, 1, replicas).front() == first);
 }
 
-TEST_CASE("Placement: the own zone comes first among the replicas", "[placement]") {
+TEST_CASE("Placement: replicas in the invoker's own zone come first", "[placement]") {
   int replicas = 0;
   const auto order = candidates(0, 2, replicas, "z2");
   const auto is_other_zone = [](WorkerIndex worker) { return worker % 2 == 1; };
@@ -62,7 +62,7 @@
                             [&](WorkerIndex worker) { return !is_other_zone(worker); }));
 }
 
-TEST_CASE("Placement: workers that leave are no candidates", "[placement]") {
+TEST_CASE("Placement: draining workers are not candidates", "[placement]") {
   Parts parts;
   parts.add_worker(entry("a"));
   parts.add_worker(entry("b"));
--- a/tests/policy/service_times_test.cpp
+++ b/tests/policy/service_times_test.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::policy::test {
 namespace {
 
-TEST_CASE("Average: is the plain mean at first and then follows by its gain", "[average]") {
+TEST_CASE("Average: starts as the arithmetic mean, then becomes an EWMA with the given gain", "[average]") {
   Average average;
   for (const double sample : {10.0, 20.0, 30.0}) average.add(sample, 0.1, 4);
   CHECK_THAT(average.value, Catch::Matchers::WithinULP(20.0, 4));
@@ -17,7 +17,7 @@
   CHECK_THAT(average.value, Catch::Matchers::WithinULP(21.0, 4));
 }
 
-TEST_CASE("Average: counts an outlier at most as a multiple of itself", "[average]") {
+TEST_CASE("Average: limits an outlier to a multiple of the average", "[average]") {
   Average average;
   for (int i = 0; i < 100; ++i) average.add(10, 0.1, 4);
   average.add(1e9, 0.1, 4);
@@ -30,18 +30,18 @@
   ServiceTimes times{settings};
 };
 
-TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: know nothing at first", "[service-times]") {
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: times are unknown without samples", "[service-times]") {
   FunctionTimes function;
   function.class_index = 0;
   CHECK(times.run(function) == 0);
   CHECK(times.load(function) == 0);
   UNSCOPED_INFO("a quarter of the latency objective");
   CHECK(times.work(0) == 250);
-  UNSCOPED_INFO("never 0");
+  UNSCOPED_INFO("the expected work is never 0");
   CHECK(times.work(-1) == 1);
 }
 
-TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: an unknown function takes those of its class",
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: a function without samples takes the times of its class",
                  "[service-times]") {
   FunctionTimes known;
   FunctionTimes unknown;
@@ -54,7 +54,7 @@
   CHECK(times.run(unknown) == 0);
 }
 
-TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: the unloaded run is a slow moving least",
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: the unloaded run time is a slowly rising minimum",
                  "[service-times]") {
   FunctionTimes function;
   for (int i = 0; i < 10; ++i) times.record_run(function, 0, 100);
@@ -63,9 +63,10 @@
   CHECK(times.unloaded_run(function) < 103);
 }
 
-TEST_CASE_METHOD(ServiceTimesTest,
-                 "ServiceTimes: a load is measured before it is hinted before it is guessed",
-                 "[service-times]") {
+TEST_CASE_METHOD(
+    ServiceTimesTest,
+    "ServiceTimes: a measured load time takes precedence over a stated one, and that over the average",
+    "[service-times]") {
   FunctionTimes other;
   FunctionTimes function;
   times.record_load(other, 700);
@@ -76,7 +77,7 @@
   CHECK(times.load(function) == 900);
 }
 
-TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: a worker is not silent before a least spell",
+TEST_CASE_METHOD(ServiceTimesTest, "ServiceTimes: the run timeout is never below the minimum stall time",
                  "[service-times]") {
   CHECK(times.run_timeout(1) == kMinStallTime);
   CHECK(times.run_timeout(100) == Millis(600));
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -22,7 +22,7 @@
   CHECK(adapter.handle_batch(R"({"Time":1,"n":7,"routers":[]})") == R"({"n":7,"routers":[]})");
 }
 
-TEST_CASE("Wire: carries a request to a worker and back", "[wire]") {
+TEST_CASE("Wire: a request leads to a timer and an attempt at a worker", "[wire]") {
   Adapter adapter;
   adapter.handle_batch(kInit);
   const auto out = nlohmann::json::parse(
@@ -33,7 +33,7 @@
   CHECK(cmds[1] == nlohmann::json::array({"Assign", "t/a", "h:1", 800.0}));
 }
 
-TEST_CASE("Wire: passes over the unknown and the ended", "[wire]") {
+TEST_CASE("Wire: ignores unknown messages and messages about unknown requests", "[wire]") {
   Adapter adapter;
   adapter.handle_batch(kInit);
   const auto out = adapter.handle_batch(
@@ -42,7 +42,7 @@
   CHECK(out == R"({"n":2,"routers":[]})");
 }
 
-TEST_CASE("Wire: instances share nothing", "[wire]") {
+TEST_CASE("Wire: invokers share no state", "[wire]") {
   Adapter adapter;
   adapter.handle_batch(kInit);
   const auto out = adapter.handle_batch(
@@ -50,7 +50,7 @@
   CHECK(out == R"({"n":2,"routers":[]})");
 }
 
-TEST_CASE("Wire: names the fault of a malformed line", "[wire]") {
+TEST_CASE("Wire: a malformed line throws ProtocolError", "[wire]") {
   for (const char* line :
        {"", "nonsense", "[]", "{}", R"({"Time":1,"n":1})", R"({"Time":"x","n":1,"routers":[]})",
         R"({"Time":1,"n":1,"routers":[{}]})", R"({"Time":1,"n":1,"routers":[{"Router":"r"}]})",
@@ -63,7 +63,7 @@
   }
 }
 
-TEST_CASE("Wire: reads settings with their plain meanings", "[wire]") {
+TEST_CASE("Wire: reads settings", "[wire]") {
   const auto s =
       config::read_settings(nlohmann::json::parse(R"({"LoadInfo":{"How":"pull","Fields":["queue","new"]},
       "Kinds":["p","q"],"FamilyInfo":{"MemoryMbByKind":[5,6]},"RegistryMode":"ask"})"),
