--- a/tests/replay/day_plan.cpp
+++ b/tests/replay/day_plan.cpp
@@ -84,6 +84,7 @@
   plan.invoker_restart_interval_ms = 2500;
 }
 
+/// One invoker without faults.
 DayPlan single_invoker_day() {
   DayPlan plan;
   plan.name = "calm-one-invoker";
@@ -92,7 +93,8 @@
   return plan;
 }
 
-DayPlan faults_day() {  // probes bring the reports, peers tell one another
+/// Worker and invoker faults. Load reports arrive with probes, and invokers exchange messages.
+DayPlan faults_day() {
   DayPlan plan;
   plan.name = "trouble-five-invokers";
   plan.seed = 102;
@@ -113,7 +115,9 @@
   return plan;
 }
 
-DayPlan miss_rejection_day() {  // answers bring the reports, the list has to be asked for
+/// Workers answer `miss` instead of loading. Load reports arrive with answers, and the list of workers is
+/// sent only on request.
+DayPlan miss_rejection_day() {
   DayPlan plan;
   plan.name = "miss-thirty-invokers";
   plan.seed = 103;
@@ -132,7 +136,8 @@
   return plan;
 }
 
-DayPlan many_invokers_day() {  // a part of 300 invokers; answers say nothing of instances
+/// Simulates 20 of 300 invokers. Answers do not state the warmth of the instance.
+DayPlan many_invokers_day() {
   DayPlan plan;
   plan.name = "trouble-of-300-invokers";
   plan.seed = 104;
@@ -153,6 +158,7 @@
   return plan;
 }
 
+/// As many_invokers_day, with load orders, workers that answer `miss`, and value counted per unit of work.
 DayPlan many_invokers_with_orders_day() {
   DayPlan plan = many_invokers_day();
   plan.name = "orders-of-300-invokers";
@@ -168,7 +174,8 @@
   return plan;
 }
 
-DayPlan overload_day() {  // nothing permitted that may be forbidden
+/// More requests than the workers can serve, with every optional feature disabled.
+DayPlan overload_day() {
   DayPlan plan;
   plan.name = "overload-bare-settings";
   plan.seed = 106;
@@ -187,6 +194,7 @@
   return plan;
 }
 
+/// As faults_day, with more than one attempt per request at a time.
 DayPlan hedged_requests_day() {
   DayPlan plan = faults_day();
   plan.name = "second-copies-five-invokers";
@@ -200,7 +208,8 @@
   return plan;
 }
 
-DayPlan long_quiet_day() {  // long enough that records of gone workers and idle functions are dropped
+/// Low traffic, for long enough that records of removed workers and idle functions are pruned.
+DayPlan long_quiet_day() {
   DayPlan plan;
   plan.name = "long-and-quiet";
   plan.seed = 108;
@@ -220,7 +229,8 @@
   return plan;
 }
 
-DayPlan many_functions_day() {  // more functions than are kept
+/// Requests more functions than the function table keeps.
+DayPlan many_functions_day() {
   DayPlan plan;
   plan.name = "many-functions";
   plan.seed = 109;
--- a/tests/replay/fleet_simulation.cpp
+++ b/tests/replay/fleet_simulation.cpp
@@ -7,9 +7,10 @@
 namespace pathstack::policy::replay {
 namespace {
 
+// Times are in microseconds.
 constexpr std::int64_t kMillisecond = 1000;
 constexpr std::int64_t kTick = 2 * kMillisecond;
-constexpr std::int64_t kStartTime = 7'000'000 * kMillisecond;  // the clock has no particular start
+constexpr std::int64_t kStartTime = 7'000'000 * kMillisecond;  // arbitrary; clocks need not start at 0
 constexpr std::int64_t kNetworkDelay = 300;                    // one way
 constexpr std::int64_t kConnectTimeout = 250 * kMillisecond;
 constexpr std::int64_t kLoadTime = 120 * kMillisecond;
@@ -20,7 +21,7 @@
 constexpr int kCatalogPages = 16;
 constexpr int kFailedList = 3;
 constexpr int kFullList = 4;
-constexpr int kMaxFunctionsPerWorker = 24;  // functions that fit a worker
+constexpr int kMaxFunctionsPerWorker = 24;  // further loads evict an instance
 
 double to_millis(std::int64_t micros) { return static_cast<double>(micros) / 1000.0; }
 std::int64_t to_micros(double millis) { return std::llround(millis * 1000.0); }
@@ -193,7 +194,7 @@
       schedule(span, [this, index] { workers_[as_index(index)].error_share = 0; });
       return;
     case 4: return restart_worker(index);
-    case 5:  // a restart that the list does not tell of
+    case 5:  // a restart that the worker list does not report
       worker.down_until = now_ + span;
       worker.instances.clear();
       return;
@@ -229,7 +230,7 @@
 // ---- Clients -------------------------------------------------------------------------------------------
 void FleetSimulation::generate_requests() {
   if (now_ >= kStartTime + plan_.traffic_until_ms * kMillisecond) return;
-  const std::int64_t per_million_of_tick = plan_.requests_per_second * kTick;  // requests x 1e6 in a tick
+  const std::int64_t per_million_of_tick = plan_.requests_per_second * kTick;  // requests per tick, times 1e6
   std::int64_t arrivals = per_million_of_tick / 1'000'000;
   if (random_.below(1'000'000) < per_million_of_tick % 1'000'000) ++arrivals;
   for (; arrivals > 0; --arrivals) {
@@ -265,7 +266,8 @@
       "Order", id, class_name, 12.0, "gold", bits, 384, function, load_hint, to_millis(expires_in), slots};
   if (random_.permille(plan_.stray_message_share)) send_stray_message(invoker, id);
   deliver(invoker, message);
-  if (random_.permille(plan_.stray_message_share / 4)) deliver(invoker, std::move(message));  // passed over
+  if (random_.permille(plan_.stray_message_share / 4))
+    deliver(invoker, std::move(message));  // a duplicate, to be ignored
   if (random_.permille(plan_.abandoned_request_share))
     schedule(random_.between(1, 300) * kMillisecond, [this, id] { abandon_request(id); });
   schedule(expires_in + 20 * kMillisecond, [this, id] { abandon_request(id); });
@@ -289,7 +291,8 @@
            [this, invoker, function, left, pause] { add_request(invoker, function, left - pause, true); });
 }
 
-// What is legal, late or unknown, and changes nothing.
+// Sends a valid message that is late, unknown or refers to something unknown. It does not change the state of
+// the simulation.
 void FleetSimulation::send_stray_message(int invoker, const std::string& id) {
   switch (random_.below(10)) {
     case 0: return deliver(invoker, {"Novelty", 1, "x"});
@@ -326,7 +329,7 @@
 void FleetSimulation::assign(int, const Json& command) {
   const std::string id = command.at(1);
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return;  // an odd request: the day does not follow it
+  if (found == requests_.end()) return;  // a stray request: not simulated
   Request& request = found->second;
   const int index = worker_index_.at(command.at(2).get<std::string>());
   const int attempt = static_cast<int>(request.attempts.size());
@@ -417,7 +420,8 @@
                         worker.id,
                         report(worker, false)};
   deliver(request.invoker, message);
-  if (random_.permille(plan_.stray_message_share / 4)) deliver(request.invoker, message);  // passed over
+  if (random_.permille(plan_.stray_message_share / 4))
+    deliver(request.invoker, message);  // a duplicate, to be ignored
 }
 
 void FleetSimulation::begin_stream(const std::string& id, int attempt) {
--- a/tests/replay/fleet_simulation.h
+++ b/tests/replay/fleet_simulation.h
@@ -1,9 +1,10 @@
-// A small closed-loop simulation that drives the adapter over its wire: invokers, workers, clients and
-// faults.
-//
-// It is a source of varied and legal event streams, not a model of a real fleet: what a worker does is drawn
-// from the seed, and the adapter's actions decide what happens next. Time is kept in whole microseconds and
-// random numbers come from the engine alone, so a plan gives the same stream on every machine.
+/// A small closed-loop simulation of invokers, workers, clients and faults that drives the adapter through
+/// its JSON protocol.
+///
+/// The simulation produces varied and valid event streams; it does not model a real fleet. The seed
+/// determines how workers behave, and the adapter's actions determine what happens next. Times are integer
+/// microseconds and random numbers are taken directly from the engine, so a plan gives the same stream on
+/// every machine.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +21,24 @@
 
 namespace pathstack::policy::replay {
 
+/// Runs one day. Deterministic for a given plan and decision module.
 class FleetSimulation {
  public:
-  /// Called with each round and the adapter's reply to it.
+  /// Called with each round (a batch of messages as sent to the adapter) and the adapter's reply.
   using Observer = std::function<void(const std::string& round, const std::string& reply)>;
 
   explicit FleetSimulation(const DayPlan& plan);
 
-  /// Plays the whole day once.
+  /// Runs the whole day; call once.
   Summary run(const Observer& observer = nullptr);
 
  private:
   using Micros = std::int64_t;
   using Json = nlohmann::json;
 
-  struct Instance {  // of a function at a worker
+  struct Instance {  // an instance of a function at a worker
     Micros ready_at = 0, used_at = 0;
-    bool fails = false;  // its load does
+    bool fails = false;  // the load fails
   };
   struct Worker {
     std::string id, zone, kind;
@@ -47,7 +49,7 @@
   };
   struct Invoker {
     bool running = false, subscribed = false;
-    int incarnation = 0;
+    int incarnation = 0;  // number of starts; messages for an earlier one are dropped
     Micros list_delay = 0;
     Json inbox = Json::array();
   };
@@ -63,10 +65,10 @@
     bool finished = false, streaming = false;
     std::vector<Attempt> attempts;
   };
-  struct AttemptResult {  // how an attempt will end
+  struct AttemptResult {  // how and when an attempt will end
     std::string status;
-    Micros after = 0;  // kNoAnswer: only the time-out ends it
-    int remark = 0;
+    Micros after = 0;  // kNoAnswer: the attempt ends only by its timeout
+    int remark = 0;    // warmth and number of concurrent calls, as in a `Result` message
   };
 
   DayPlan plan_;
--- a/tests/replay/gzip_lines.cpp
+++ b/tests/replay/gzip_lines.cpp
@@ -35,7 +35,8 @@
     lines.push_back(text.substr(begin, end - begin));
     begin = end + 1;
   }
-  if (begin != text.size()) throw std::runtime_error("the last line of " + path + " is cut");
+  if (begin != text.size())
+    throw std::runtime_error(path + " does not end with a line feed; the file is truncated");
   return lines;
 }
 
--- a/tests/replay/gzip_lines.h
+++ b/tests/replay/gzip_lines.h
@@ -1,4 +1,4 @@
-// Reads the lines of a gzip'ed text file.
+/// Reads the lines of a gzip-compressed text file.
 #pragma once
 
 #include <string>
@@ -6,7 +6,8 @@
 
 namespace pathstack::policy::replay {
 
-/// All lines of the file, without their line feeds. Throws std::runtime_error if it can't be read whole.
+/// Returns all lines of the file without their line feeds. Throws std::runtime_error if the file cannot be
+/// opened or decompressed, or if its last line does not end with a line feed.
 std::vector<std::string> read_gzip_lines(const std::string& path);
 
 }  // namespace pathstack::policy::replay
--- a/tests/replay/replay_test.cpp
+++ b/tests/replay/replay_test.cpp
@@ -1,16 +1,16 @@
-// Golden test of the decision module behind its adapter: the same events must give the same actions, byte for
-// byte.
+// Golden test of the decision module through its simulator adapter: the same events must produce the same
+// actions, byte for byte.
 //
 // Two sources of events are replayed:
-// - generated days (day_plan.cpp), whose digests and counts of actions stand in expected_days.txt;
-// - recorded days (data/NAME.rounds.gz), whose replies stand in data/NAME.replies.gz.
+// - generated days (day_plan.cpp), with the expected digests and action counts in expected_days.txt;
+// - recorded days (data/NAME.rounds.gz), with the expected replies in data/NAME.replies.gz.
 //
-// A change that is not meant to change decisions must leave both as they are. A change that does must say why
-// in its commit, and records new values so:
+// A change that is not meant to change decisions must leave both unchanged. A change of decisions must give
+// the reason in its commit and record new expected values:
 //   REPLAY_RECORD=DIR replay_tests     writes DIR/expected_days.txt and DIR/NAME.replies (for gzip -9n)
-// To see where two builds differ, let both write what they answer, and compare the files:
+// To find where two builds differ, write a trace with each build and compare the files:
 //   REPLAY_TRACE=DIR replay_tests      writes the rounds and replies of the generated days to DIR/NAME.trace
-// Both variables only add output; the comparison is made as ever.
+// Both variables only add output; the test compares with the expected values in any case.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -31,7 +31,7 @@
   return folder == nullptr ? std::string() : std::string(folder);
 }
 
-/// The lines of expected_days.txt by the name of the day; lines that begin with # are comments.
+/// The lines of expected_days.txt by the name of the day. Lines that begin with # are comments.
 std::map<std::string, std::string> expected_days() {
   std::map<std::string, std::string> lines;
   std::ifstream file(kSourceFolder + "/expected_days.txt");
@@ -57,15 +57,15 @@
   CHECK(line == expected_days()[plan.name]);
 }
 
-// Sections and not generated values: ctest runs each day as a process of its own, by the name of its section.
-TEST_CASE("a generated day gives the same actions", "[generated]") {
+// Uses sections instead of GENERATE because ctest runs each day in its own process, selected by section name.
+TEST_CASE("the actions of a generated day match the expected ones", "[generated]") {
   for (const DayPlan& plan : day_plans()) {
     DYNAMIC_SECTION(plan.name) { check_generated_day(plan); }
   }
 }
 
-// ctest takes the names of the days from expected_days.txt.
-TEST_CASE("the expected days are the generated ones", "[days]") {
+// ctest reads the names of the days from expected_days.txt, so a day that is missing there would not run.
+TEST_CASE("expected_days.txt lists exactly the generated days", "[days]") {
   std::vector<std::string> generated;
   for (const DayPlan& plan : day_plans()) generated.push_back(plan.name);
   std::vector<std::string> expected;
@@ -90,11 +90,11 @@
     if (reply == expected[i]) continue;
     if (++different == 1) FAIL_CHECK("round " << i << ": " << reply << "\nexpected: " << expected[i]);
   }
-  UNSCOPED_INFO("rounds differ, of " << rounds.size());
+  UNSCOPED_INFO("number of rounds that differ, of " << rounds.size());
   CHECK(different == 0);
 }
 
-TEST_CASE("a recorded day gives the same actions", "[recorded]") {
+TEST_CASE("the actions of a recorded day match the expected ones", "[recorded]") {
   for (const char* name : {"trouble", "overload", "big"}) {
     DYNAMIC_SECTION(name) { check_recorded_day(name); }
   }
--- a/tests/replay/summary.h
+++ b/tests/replay/summary.h
@@ -1,4 +1,4 @@
-// What a replay is compared by: a digest of the adapter's replies and the count of each kind of action.
+/// Summarizes a replay for comparison: a digest of the adapter's replies and a count of each kind of action.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace pathstack::policy::replay {
 
-/// FNV-1a of 64 bits over all lines added, each ended by a line feed.
+/// 64-bit FNV-1a hash over all added lines, each followed by a line feed.
 class Digest {
  public:
   void add_line(const std::string& line) {
@@ -26,10 +26,10 @@
   void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * kPrime; }
 };
 
-/// Digest and counts of the replies of one day.
+/// Digest and action counts of the replies of one day.
 class Summary {
  public:
-  /// Adds one reply, both as it was written and parsed.
+  /// Adds one reply, given both as text and parsed.
   void add_reply(const std::string& line, const nlohmann::json& reply) {
     ++rounds_;
     digest_.add_line(line);
@@ -41,7 +41,8 @@
     const auto found = actions_.find(action);
     return found == actions_.end() ? 0 : found->second;
   }
-  /// One line: name, digest, number of rounds, and the actions with their counts in order of their names.
+  /// Formats the summary as one line: name, digest, number of rounds, and the count of each action in
+  /// alphabetical order.
   std::string line(const std::string& name) const {
     std::ostringstream text;
     text << name << ' ' << std::hex << digest_.value() << std::dec << " rounds=" << rounds_;
