--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -74,8 +74,8 @@
     case WorkerChange::Kind::restarted:
       outliers_.restarted(change.worker);
       slow_start_.restarted(change.worker);
-      return functions_.forget_instances(change.worker);
-    case WorkerChange::Kind::left: return functions_.forget_instances(change.worker);
+      return functions_.clear_instances(change.worker);
+    case WorkerChange::Kind::left: return functions_.clear_instances(change.worker);
   }
 }
 
@@ -212,7 +212,7 @@
 
 void Engine::prune(Millis now) {
   for (const WorkerIndex worker : workers_.prune(now)) {
-    functions_.forget_instances(worker);
+    functions_.clear_instances(worker);
     reset_worker(worker);
   }
   functions_.prune(now);
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -87,7 +87,7 @@
     case Outcome::ok: return record_success(request, attempt, instance, answer, now);
     case Outcome::miss:
       instance.loaded = 0;
-      request.function->missed = true;
+      request.function->last_attempt_missed = true;
       if (!settings_.rejects_on_miss) record_useless_answer(request, attempt, answer, now);
       return;
     case Outcome::full: lease_.turned_away(worker, now); return limits_.record_full(worker, now);
@@ -110,7 +110,7 @@
   lease_.accepted(attempt.worker, request.function->id, attempt.sent_at);
   record_times(request, attempt, answer, now);
   outliers_.record_success(attempt.worker, request.class_index, now);
-  request.function->missed = false;
+  request.function->last_attempt_missed = false;
   instance.loaded = std::max(instance.loaded, 1);
   instance.confirmed = true;
   instance.used_at = now;
@@ -159,8 +159,8 @@
   // Requests for functions that no worker knows fail everywhere, so at most one failure of each such function
   // counts.
   Function& function = *request.function;
-  if (!function.times.run.known() && function.blamed) return;
-  function.blamed = true;
+  if (!function.times.run.known() && function.failure_counted) return;
+  function.failure_counted = true;
   outliers_.record_failure(attempt.worker, request.class_index, now);
   // With many invokers, each one sends to a worker only once in several seconds, so a single error that is
   // faster than a run suffices to eject the class there.
@@ -190,7 +190,7 @@
     // Without this delay, orders that fail immediately would be sent at every sweep, to one worker after
     // another.
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
-    if (order.instances > 0) function.missed = false;
+    if (order.instances > 0) function.last_attempt_missed = false;
   }
   if (order.outcome == Outcome::full) lease_.turned_away(worker, now);
   const bool is_loaded = order.outcome == Outcome::ok && order.instances > 0;
@@ -202,7 +202,7 @@
     case Outcome::timeout: return;
     default: break;
   }
-  instance.loaded = std::min(std::max(order.instances, 0), kMostInstancesAtWorker);
+  instance.loaded = std::min(std::max(order.instances, 0), kMaxInstancesPerWorker);
   instance.confirmed = instance.loaded > 0;
   instance.used_at = now;
 }
@@ -227,7 +227,7 @@
 // While the list is not current, a restart that the list would have announced counts as announced, although
 // this invoker cannot receive it; so the worker is treated as restarted.
 void OutcomeRecorder::handle_new_process(WorkerIndex worker, Millis now) {
-  functions_.forget_instances(worker);
+  functions_.clear_instances(worker);
   slow_start_.returned(worker, now);
 }
 
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -123,13 +123,13 @@
 // With many invokers each one sees only a small part of the requests, so the replica is most likely warm
 // already; with few, requests sent this way would be loads that bypass the load order budget.
 bool Scheduler::should_load_by_sending(const Function& function, const Request& next, bool may_order) const {
-  if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.missed;
+  if (settings_.rejects_on_miss) return next.attempts_sent() == 0 && !function.last_attempt_missed;
   return has_many_invokers(settings_) || !may_order;
 }
 
 void Scheduler::order_load(Function& function, Instance& instance, Millis now) {
   const bool warm = functions_.is_warm(instance, now);
-  const int target_instances = warm ? std::min(instance.loaded + 1, kMostInstancesAtWorker) : 1;
+  const int target_instances = warm ? std::min(instance.loaded + 1, kMaxInstancesPerWorker) : 1;
   actions_.emit(action::Load{workers_[instance.worker].worker, function.id, target_instances});
   order_budget_.order_sent(now);
   functions_.begin_load(instance, now);
--- a/tests/policy/outcome_recorder_test.cpp
+++ b/tests/policy/outcome_recorder_test.cpp
@@ -74,7 +74,7 @@
   end(send(), Outcome::ok, 100);
   end(send(), Outcome::miss, 1);
   CHECK(function.find_instance(worker)->loaded == 0);
-  CHECK(function.missed);
+  CHECK(function.last_attempt_missed);
 }
 
 TEST_CASE_METHOD(OutcomeRecorderTest,
