--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -55,7 +55,7 @@
           loop_, [this] { reload(); },
           [this](const std::string& fault, bool last) { on_reload_fault(fault, last); }) {
   fleet_.attach(dispatcher_);
-  dispatcher_.log_to(events_);
+  dispatcher_.set_event_log(events_);
   start_membership();
   start_listening();
   if (terminated_at_start_) return;
@@ -67,7 +67,7 @@
   fleet_.members(list);  // first: what the module sends next needs the addresses
   core::HostList entries{kind, {}};
   for (const auto& member : list.members) entries.entries.push_back(member.entry);
-  dispatcher_.members(std::move(entries));
+  dispatcher_.update_hosts(std::move(entries));
 }
 
 // The hosts first: the module may send at once.
@@ -75,7 +75,7 @@
   const Millis until = lease.until();
   list_current_until_ = until;
   fleet_.list_lease(until);
-  dispatcher_.list_lease(until, lease.later_changes_from());
+  dispatcher_.update_list_lease(until, lease.later_changes_from());
 }
 
 void Invoker::log_list_state() {
@@ -206,7 +206,7 @@
   }
   if (triggers_) triggers_->close();
   // What is read in this last turn is answered too.
-  loop_.turn(loop_.now(), [this] { dispatcher_.end_all(); });
+  loop_.turn(loop_.now(), [this] { dispatcher_.finish_all(); });
   close_clients();
   log_status();
   log_counters();
@@ -214,7 +214,7 @@
 
 void Invoker::begin_shutdown(Millis now) {
   shutdown_.begin(now);
-  log_event("ends: " + std::to_string(dispatcher_.open()) + " calls open");
+  log_event("ends: " + std::to_string(dispatcher_.open_calls()) + " calls open");
   front_.drain();
   if (triggers_) triggers_->drain();
 }
@@ -222,7 +222,7 @@
 // Carries out what is due by now; true once the program may end.
 bool Invoker::shutdown_done(Millis now) {
   const bool listener_closed = !shutdown_.listens(now) && front_.stop_listening();
-  if (shutdown_.answers_due(now)) dispatcher_.end_all();
+  if (shutdown_.answers_due(now)) dispatcher_.finish_all();
   const bool clients_served = front_.open_calls() == 0 && !front_.reading() && front_.written();
   const bool triggers_served = !triggers_ || triggers_->done();
   const bool all_served = clients_served && triggers_served;
@@ -242,7 +242,7 @@
 
 void Invoker::log_status() {
   next_status_ = loop_.now() + kStatusInterval;
-  const std::string line = counters_.status(dispatcher_.tally());
+  const std::string line = counters_.status(dispatcher_.module_statistics());
   if (!line.empty()) log_.write_line(line);
 }
 
--- a/src/core/counter.cpp
+++ b/src/core/counter.cpp
@@ -5,7 +5,7 @@
 namespace pathstack::core {
 namespace {
 
-constexpr std::array<CounterInfo, kCounters> kInfo = {{
+constexpr std::array<CounterInfo, kCounterCount> kCounterInfos = {{
     {Counter::amqp_acked, "amqp.acked", "deliveries",
      "acknowledged to the broker after their answer was confirmed"},
     {Counter::amqp_answers_kept, "amqp.answers_kept", "answers",
@@ -167,21 +167,21 @@
      "of the xDS endpoint list that were not taken; the log says why"},
 }};
 
-constexpr bool in_order() {
-  for (std::size_t i = 0; i < kInfo.size(); ++i) {
-    if (kInfo.at(i).counter != static_cast<Counter>(i)) return false;
+constexpr bool in_enum_order() {
+  for (std::size_t i = 0; i < kCounterInfos.size(); ++i) {
+    if (kCounterInfos.at(i).counter != static_cast<Counter>(i)) return false;
   }
   return true;
 }
-static_assert(in_order(), "the descriptions stand in the order of the enumeration");
+static_assert(in_enum_order(), "the descriptions stand in the order of the enumeration");
 
 }  // namespace
 
-const CounterInfo& info_of(Counter counter) { return kInfo.at(static_cast<std::size_t>(counter)); }
+const CounterInfo& counter_info(Counter counter) { return kCounterInfos.at(static_cast<std::size_t>(counter)); }
 
 std::string counter_table() {
   std::string table = "| name | unit | counts |\n| --- | --- | --- |\n";
-  for (const auto& info : kInfo) {
+  for (const auto& info : kCounterInfos) {
     table += "| `";
     table += info.name;
     table += "` | ";
--- a/src/core/counter.h
+++ b/src/core/counter.h
@@ -119,7 +119,7 @@
 };
 
 /// The number of counters.
-constexpr std::size_t kCounters = static_cast<std::size_t>(Counter::xds_rejected) + 1;
+constexpr std::size_t kCounterCount = static_cast<std::size_t>(Counter::xds_rejected) + 1;
 
 /// What an operator reads of a counter.
 struct CounterInfo {
@@ -130,7 +130,7 @@
 };
 
 /// The description of `counter`. Cost: constant.
-const CounterInfo& info_of(Counter counter);
+const CounterInfo& counter_info(Counter counter);
 
 /// The table of all counters in Markdown, as it stands in the README.
 std::string counter_table();
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -15,9 +15,9 @@
 
 std::vector<std::string> Counters::lines() const {
   std::vector<std::string> out;
-  for (std::size_t i = 0; i < kCounters; ++i) {
+  for (std::size_t i = 0; i < kCounterCount; ++i) {
     if (values_.at(i) == 0) continue;
-    const CounterInfo& info = info_of(static_cast<Counter>(i));
+    const CounterInfo& info = counter_info(static_cast<Counter>(i));
     out.push_back(std::string(info.name) + ' ' + std::to_string(values_.at(i)));
   }
   return out;
@@ -25,9 +25,9 @@
 
 std::string Counters::status(const std::map<std::string, double>& module_figures) {
   std::ostringstream line;
-  for (std::size_t i = 0; i < kCounters; ++i) {
+  for (std::size_t i = 0; i < kCounterCount; ++i) {
     const std::uint64_t more = values_.at(i) - std::exchange(reported_.at(i), values_.at(i));
-    if (more > 0) line << ' ' << info_of(static_cast<Counter>(i)).name << '=' << more;
+    if (more > 0) line << ' ' << counter_info(static_cast<Counter>(i)).name << '=' << more;
   }
   if (line.tellp() == std::streampos(0)) return {};
   line << std::setprecision(kFigureDigits);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -26,7 +26,7 @@
   std::string status(const std::map<std::string, double>& module_figures);
 
  private:
-  std::array<std::uint64_t, kCounters> values_{}, reported_{};
+  std::array<std::uint64_t, kCounterCount> values_{}, reported_{};
   std::map<std::string, double> reported_figures_;
 
   static std::size_t index(Counter counter) { return static_cast<std::size_t>(counter); }
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -72,7 +72,7 @@
   return true;
 }
 
-void Dispatcher::leave(CallId id) {
+void Dispatcher::abandon(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_left);
   // The module is notified before the attempt ends: it must not retry what nobody waits for.
@@ -88,7 +88,7 @@
   calls_.erase(found);
 }
 
-void Dispatcher::end_all() {
+void Dispatcher::finish_all() {
   std::vector<CallId> ids;
   for (const auto& [id, open] : calls_) ids.push_back(id);
   std::sort(ids.begin(), ids.end());
@@ -134,13 +134,13 @@
 
 void Dispatcher::load_ended(LoadOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
 void Dispatcher::probe_ended(ProbeOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
-void Dispatcher::members(HostList&& list) { apply_steps(module_.report(clock_(), list)); }
+void Dispatcher::update_hosts(HostList&& list) { apply_steps(module_.report(clock_(), list)); }
 
-void Dispatcher::connections_lost(const std::string& host) {
+void Dispatcher::host_connections_lost(const std::string& host) {
   apply_steps(module_.report(clock_(), HostConnectionsLost{host}));
 }
 
-void Dispatcher::list_lease(Millis until, Millis later_changes_from) {
+void Dispatcher::update_list_lease(Millis until, Millis later_changes_from) {
   apply_steps(module_.report(clock_(), ListLease{until, later_changes_from}));
 }
 
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -35,7 +35,7 @@
 
   /// Calls that end unserved are told of in `log`, which must outlive this object. Without one nothing is
   /// written.
-  void log_to(EventLog& log) { event_log_ = &log; }
+  void set_event_log(EventLog& log) { event_log_ = &log; }
 
   /// An id for a new call, made beforehand, so that a front can file the call before an answer comes.
   CallId next_id() { return ++last_id_; }
@@ -44,9 +44,9 @@
   /// Cost: that of a decision of the module.
   bool take(CallId id, Call&& call, Front& front);
   /// The client is gone: no answer is owed. Nothing happens if the call is not open.
-  void leave(CallId id);
+  void abandon(CallId id);
   /// The program ends: every open call gets its final answer now. Cost: a decision for each open call.
-  void end_all();
+  void finish_all();
 
   /// Reported by the hosts: an attempt that was not cancelled has ended. Cost: a decision, as of all below.
   void attempt_ended(const Attempt& attempt, AttemptEnd&& end);
@@ -55,12 +55,12 @@
   /// A probe has ended.
   void probe_ended(ProbeOutcome&& end);
   /// The membership log has a complete list, or changes. The hosts must know of them before.
-  void members(HostList&& list);
+  void update_hosts(HostList&& list);
   /// A host has closed the last connection to it.
-  void connections_lost(const std::string& host);
+  void host_connections_lost(const std::string& host);
   /// The list of hosts may be relied on until then; changes after that count as told from
   /// `later_changes_from` on. The hosts must know of it before.
-  void list_lease(Millis until, Millis later_changes_from = Millis(0));
+  void update_list_lease(Millis until, Millis later_changes_from = Millis(0));
   /// Asked when a load order is about to be written; false, and counted, if the load budget is spent.
   bool take_load_budget();
 
@@ -69,9 +69,9 @@
   /// When `tick` has to be called next; infinite if nothing is due.
   Millis next_due() const;
   /// The number of open calls.
-  std::size_t open() const { return calls_.size(); }
+  std::size_t open_calls() const { return calls_.size(); }
   /// The module's figures for operators.
-  std::map<std::string, double> tally() const { return module_.statistics(); }
+  std::map<std::string, double> module_statistics() const { return module_.statistics(); }
 
  private:
   struct Deadline {
--- a/src/feed/watch_connection.cpp
+++ b/src/feed/watch_connection.cpp
@@ -70,7 +70,7 @@
 }
 
 void WatchConnection::end_counted(core::Counter reason) {
-  if (own_end_reason_.empty()) own_end_reason_ = core::info_of(reason).name;
+  if (own_end_reason_.empty()) own_end_reason_ = core::counter_info(reason).name;
   counters_.add(reason);
   end_later();
 }
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -238,7 +238,7 @@
     return other->open() && other->counts_for_host();
   });
   const bool was_of_process = connection.was_up() && !connection.is_replaced();
-  if (was_of_process && by_host && !another_is_up) dispatcher_->connections_lost(connection.host());
+  if (was_of_process && by_host && !another_is_up) dispatcher_->host_connections_lost(connection.host());
 }
 
 }  // namespace pathstack::hosts
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -94,7 +94,7 @@
   std::shared_ptr<Connection> removed = connections_.remove(connection);
   const std::vector<core::CallId> open = connection.open_call_ids();
   for (const auto id : open) calls_.remove(id);
-  for (const auto id : open) dispatcher_.leave(id);
+  for (const auto id : open) dispatcher_.abandon(id);
   loop_.defer_destruction(std::move(removed));
   listener_.resume();
 }
@@ -133,7 +133,7 @@
   const auto id = connection.find_call(tag);
   if (!id) return;  // its answer was sent before the request came
   calls_.remove(*id);
-  dispatcher_.leave(*id);
+  dispatcher_.abandon(*id);
 }
 
 void Front::reject_call(Connection& connection, const std::string& tag, core::Counter reason,
@@ -151,7 +151,7 @@
 void Front::fail_open_call(core::CallId id) {
   const auto call = calls_.remove(id);
   if (!call) return;
-  dispatcher_.leave(id);
+  dispatcher_.abandon(id);
   call->connection->reply(encode_verdict(call->tag, core::CallStatus::failed));
 }
 
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -143,7 +143,7 @@
   CHECK(client.word_of("2") == (repeated ? "FAILED" : "OK"));
   CHECK(client.answers().size() == 2);
   CHECK(p.host().execs <= 2);
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 TEST_CASE("an answer that waits to be written when a fault is read is written before the connection ends") {
@@ -183,7 +183,7 @@
   CHECK(client.read() == State::open);
   client.close();
   REQUIRE(p.turn_until([&] { return p.host().drops == 1; }));
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
   CHECK(p.front.closed());
 }
 
@@ -212,7 +212,7 @@
   client.send_all(p, bytes + kGarbage);
   // More than is read of one connection in a turn.
   client.send_all(p, std::string(net::Stream::kLingerMaxBytes / 2, 'x'));
-  REQUIRE(p.turn_until([&] { return p.world.dispatcher.open() == 0 && p.host().execs == kCalls; }));
+  REQUIRE(p.turn_until([&] { return p.world.dispatcher.open_calls() == 0 && p.host().execs == kCalls; }));
   client.send_all(p, std::string(1000, 'x'));
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.answers().size() == kCalls);
@@ -345,7 +345,7 @@
   std::string bytes;
   for (int i = 1; i <= kCalls; ++i) bytes += call(std::to_string(i), std::string(16000, 'x'));
   client.send_all(p, bytes);
-  REQUIRE(p.turn_until([&] { return p.world.dispatcher.open() == 0 && p.host().execs == kCalls; }));
+  REQUIRE(p.turn_until([&] { return p.world.dispatcher.open_calls() == 0 && p.host().execs == kCalls; }));
   p.front.close_connections();
   client.send_all(p, std::string(net::Stream::kLingerMaxBytes / 2, 'x'));
   CHECK(client.read_to_end(p) == State::closed_in_order);
--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -55,7 +55,7 @@
       list.entries.emplace_back();
       list.entries.back().worker = "h" + std::to_string(i);
     }
-    dispatcher.members(std::move(list));
+    dispatcher.update_hosts(std::move(list));
   }
   core::CallId call(const std::string& cls, const std::string& ref, Millis allow = Millis(1000)) {
     core::Call c;
@@ -132,7 +132,7 @@
             std::next(deadline.begin(), static_cast<std::ptrdiff_t>(below(random, deadline.size())))->first;
         if (b.peers.answers.count(id) == 0) {
           left[id] = true;
-          b.dispatcher.leave(id);
+          b.dispatcher.abandon(id);
         }
       }
       b.pass(Millis(static_cast<double>(below(random, 40))));
@@ -141,7 +141,7 @@
       }
     }
     b.pass(Millis(3000));
-    CHECK(b.dispatcher.open() == 0);
+    CHECK(b.dispatcher.open_calls() == 0);
     for (const auto& [id, at] : deadline) {
       const auto& answers = b.peers.answers[id];
       CHECK(answers.size() == (left[id] ? 0U : 1U));
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -114,9 +114,9 @@
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
   p.world.tell(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-record", "y");
-  REQUIRE(p.world.turn_until([&] { return p.world.dispatcher.open() == 2; }, 20000));
-  p.world.dispatcher.end_all();
-  CHECK(p.world.dispatcher.open() == 0);
+  REQUIRE(p.world.turn_until([&] { return p.world.dispatcher.open_calls() == 2; }, 20000));
+  p.world.dispatcher.finish_all();
+  CHECK(p.world.dispatcher.open_calls() == 0);
   REQUIRE((c.answer("1") != nullptr && c.answer("2") != nullptr));
   CHECK(c.answer("1")->at(1) == "FAILED");
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -136,7 +136,7 @@
     c.end_later();
   }
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->drops == 1; }, 20000));
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
   CHECK(c.got.empty());
 }
 
@@ -257,7 +257,7 @@
   std::uint64_t calls = 0;
   // Asks for a few answers at a time and never reads one, until they have used up the buffers.
   const auto used_up = [&] {
-    if (unsent.empty() && p.world.dispatcher.open() == 0) {
+    if (unsent.empty() && p.world.dispatcher.open_calls() == 0) {
       for (int i = 0; i < 4; ++i) {
         const std::string fields =
             "ref=" + net::hex16(++calls) + ",allow=1400,lookup=00000000000000a1,spec=memory_mb:300;lanes:64";
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -373,7 +373,7 @@
   const bool stale = GENERATE(true, false);
   if (stale) {
     world.fleet.list_lease(world.loop.now() - Millis(10000));
-    world.dispatcher.list_lease(world.loop.now() - Millis(10000));
+    world.dispatcher.update_list_lease(world.loop.now() - Millis(10000));
   }
   serve("000000000000000a");
   const int orders = world.host[0]->orders;
--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -79,7 +79,7 @@
 
   const CallBook& book() const { return book_; }
   const FaultyCalls::Counts& faults() const { return calls_->counts(); }
-  std::size_t open_in_invoker() const { return dispatcher_.open() + front_.open_calls(); }
+  std::size_t open_in_invoker() const { return dispatcher_.open_calls() + front_.open_calls(); }
   const core::Settings& settings() const { return settings_; }
 
  private:
@@ -116,7 +116,7 @@
       entries.entries.push_back(member.entry);
     }
     fleet_.members(list);
-    dispatcher_.members(std::move(entries));
+    dispatcher_.update_hosts(std::move(entries));
   }
   bool chance(std::size_t in_hundred) { return below(random_, 100) < in_hundred; }
   CallClient& connect_client() {
--- a/tests/invoker/support/world.h
+++ b/tests/invoker/support/world.h
@@ -43,7 +43,7 @@
       entries.entries.push_back(member.entry);
     }
     fleet.members(list);
-    dispatcher.members(std::move(entries));
+    dispatcher.update_hosts(std::move(entries));
   }
   void turn() {
     loop.turn(std::min(dispatcher.next_due(), loop.now() + Millis(20)), [this] { dispatcher.tick(); });
