--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -11,10 +11,10 @@
 using Kind = Reaction::Kind;
 
 TEST_CASE("a client's call is served with its body unchanged") {
-  Platform p(2);
+  FrontFixture p(2);
   Client c(p.world, p.front.address());
   const std::string body("\0\r\n*3 $\xFF", 8);
-  c.say({"CHECK", "1", ""});
+  c.send_command({"CHECK", "1", ""});
   c.call("2", "bin-record", body);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(*c.answer("1") == resp::Words{"1", "UP"});
@@ -23,32 +23,33 @@
 
 // Failure found on a variant of the settings with a keyed class: every call reached hosts without its key.
 TEST_CASE("an idempotency key goes to the host unchanged; one that would break the host's fields is failed") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   const std::string ref = "ref=00000000000000ac,allow=900,lookup=00000000000000a1,replay=";
-  c.say({"CALL", "1", "bin-check", ref + "k:7f/3a", "x"});
+  c.send_command({"CALL", "1", "bin-check", ref + "k:7f/3a", "x"});
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "OK");
   CHECK_THAT(p.world.host[0]->last_fields, Catch::Contains(",op=k:7f/3a"));
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK_THAT(p.world.host[0]->last_fields, !Catch::Contains("op="));
-  c.say({"CALL", "3", "bin-check", "allow=900,lookup=00000000000000a1,ref=00000000000000ad,replay=a b", "x"});
+  c.send_command(
+      {"CALL", "3", "bin-check", "allow=900,lookup=00000000000000a1,ref=00000000000000ad,replay=a b", "x"});
   REQUIRE(c.answer("3") != nullptr);
   CHECK(c.answer("3")->at(1) == "FAILED");
   CHECK(p.world.host[0]->execs == 2);
 }
 
 TEST_CASE("bad input ends its call or its connection, with a counted reason") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   SECTION("a call that cannot be read is failed") {
-    c.say({"CALL", "1", "bin-check", "ref=12,allow=5", "x"});
-    c.say({"CALL", "2", "bin-check"});
-    c.say({"CALL", "3", "no-class", "ref=00000000000000aa,allow=9,lookup=00000000000000a1", "x"});
-    c.say({"SHOUT", "4"});
-    c.say({"CALL", "5", "bin-check",
-           "ref=00000000000000ab,allow=9,lookup=00000000000000a1,spec=memory_mb:much;lanes:4", "x"});
+    c.send_command({"CALL", "1", "bin-check", "ref=12,allow=5", "x"});
+    c.send_command({"CALL", "2", "bin-check"});
+    c.send_command({"CALL", "3", "no-class", "ref=00000000000000aa,allow=9,lookup=00000000000000a1", "x"});
+    c.send_command({"SHOUT", "4"});
+    c.send_command({"CALL", "5", "bin-check",
+                    "ref=00000000000000ab,allow=9,lookup=00000000000000a1,spec=memory_mb:much;lanes:4", "x"});
     for (const char* tag : {"1", "2", "3", "4", "5"}) {
       REQUIRE(c.answer(tag) != nullptr);
       CHECK(c.answer(tag)->at(1) == "FAILED");
@@ -66,8 +67,8 @@
     const auto which = GENERATE(0, 1, 2);
     if (which < 1) c.call("1", "bin-check", "x");
     if (which < 1) c.call("1", "bin-check", "y");
-    if (which == 1) c.say({"CALL", "0"});
-    if (which == 2) c.say({"CALL", "1", std::string(20000, 'x')});
+    if (which == 1) c.send_command({"CALL", "0"});
+    if (which == 2) c.send_command({"CALL", "1", std::string(20000, 'x')});
     CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
     CHECK(p.world.counters.value(which < 1    ? core::Counter::resp_tag_repeated
                                  : which == 1 ? core::Counter::resp_no_tag
@@ -79,20 +80,20 @@
 TEST_CASE("connections that wait to be accepted when listening ends are served") {
   resp::Front::Limits limits;
   limits.newcomers = 256;
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   std::list<Client> clients;
   for (int i = 1; i <= 100; ++i) {
     clients.emplace_back(p.world, p.front.address());
-    clients.back().say({"CHECK", "1", ""});
+    clients.back().send_command({"CHECK", "1", ""});
   }
   p.front.stop_listening();
   for (auto& c : clients) REQUIRE(c.answer("1") != nullptr);
 }
 
 TEST_CASE("a request that has come in part is known until it is whole or its connection ends") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
-  c.say({"CHECK", "1", ""});
+  c.send_command({"CHECK", "1", ""});
   REQUIRE(c.answer("1") != nullptr);
   CHECK_FALSE(p.front.reading());
   c.write("*3\r\n$5\r\nCHECK\r\n$1\r\n");
@@ -107,12 +108,12 @@
 }
 
 TEST_CASE("at the program's end what is open is answered: failed where it may have run, else refused") {
-  Platform p(1);
+  FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x");
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
-  p.world.tell(pathstack::policy::WorkerState::draining);
+  p.world.publish_hosts(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-record", "y");
   REQUIRE(p.world.turn_until([&] { return p.world.dispatcher.open_calls() == 2; }, 20000));
   p.world.dispatcher.finish_all();
@@ -120,36 +121,36 @@
   REQUIRE((c.answer("1") != nullptr && c.answer("2") != nullptr));
   CHECK(c.answer("1")->at(1) == "FAILED");
   CHECK(c.answer("2")->at(1) == "BUSY");
-  CHECK(c.got.size() == 2);
+  CHECK(c.replies.size() == 2);
   CHECK(p.world.host[0]->execs == 1);
 }
 
 TEST_CASE("a client that cancels or goes gets no answer, and its attempt is dropped") {
-  Platform p(1);
+  FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x");
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
   if (GENERATE(true, false)) {
-    c.say({"CANCEL", "1"});
+    c.send_command({"CANCEL", "1"});
   } else {
     c.end_later();
   }
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->drops == 1; }, 20000));
   CHECK(p.world.dispatcher.open_calls() == 0);
-  CHECK(c.got.empty());
+  CHECK(c.replies.empty());
 }
 
 TEST_CASE("clients beyond the bound take the place of the one longest idle") {
   resp::Front::Limits limits;
   limits.clients = 2;
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   Client a(p.world, p.front.address()), b(p.world, p.front.address());
-  a.say({"CHECK", "1"});
-  b.say({"CHECK", "1"});
+  a.send_command({"CHECK", "1"});
+  b.send_command({"CHECK", "1"});
   REQUIRE((a.answer("1") != nullptr && b.answer("1") != nullptr));
   Client c(p.world, p.front.address());
-  c.say({"CHECK", "1"});
+  c.send_command({"CHECK", "1"});
   CHECK(c.answer("1") != nullptr);
   CHECK(p.world.turn_until([&] { return a.closed || b.closed; }, 20000));
 }
@@ -158,7 +159,7 @@
 TEST_CASE("a call on a connection for which there is no place is refused, and reaches no host") {
   resp::Front::Limits limits;
   limits.clients = 2;
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client a(p.world, p.front.address()), b(p.world, p.front.address());
   a.call("1", "bin-check", "a");
@@ -175,11 +176,11 @@
 }
 
 TEST_CASE("a connection that says nothing, or half a request, is closed; one that has asked may stay") {
-  Platform p(1);
+  FrontFixture p(1);
   Client usual(p.world, p.front.address()), silent(p.world, p.front.address()),
       half(p.world, p.front.address()), later(p.world, p.front.address());
-  usual.say({"CHECK", "1"});
-  later.say({"CHECK", "1"});
+  usual.send_command({"CHECK", "1"});
+  later.send_command({"CHECK", "1"});
   REQUIRE((usual.answer("1") != nullptr && later.answer("1") != nullptr));
   half.write("*3\r\n$5\r\nCHE");
   later.write("*3\r\n$5\r\nCHE");
@@ -193,7 +194,7 @@
 TEST_CASE("half a request does not end the calls that are open on its connection") {
   resp::Front::Limits limits;
   limits.request_timeout = Millis(100);
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x", 600);
@@ -210,7 +211,7 @@
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "FAILED");
   if (!rest_comes) CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
-  c.say({"CHECK", "3", ""});
+  c.send_command({"CHECK", "3", ""});
   if (rest_comes) CHECK(c.answer("3") != nullptr);
 }
 
@@ -218,7 +219,7 @@
     "a request that becomes whole in the turn of the last answer is served before its connection ends") {
   resp::Front::Limits limits;
   limits.request_timeout = Millis(100);
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   Client first(p.world, p.front.address());
   first.call("1", "bin-check", "before");  // the connection to the host is read before the next client's
   REQUIRE(first.answer("1") != nullptr);
@@ -247,9 +248,9 @@
 // that next had to write was ended instead of it.
 TEST_CASE("a client that reads nothing pays for the buffers that its answers take, not whoever writes next") {
   constexpr std::size_t kBuffers = 40;
-  Platform p(1, {}, kBuffers);
+  FrontFixture p(1, {}, kBuffers);
   Client usual(p.world, p.front.address());
-  usual.say({"CHECK", "1", ""});
+  usual.send_command({"CHECK", "1", ""});
   REQUIRE(usual.answer("1") != nullptr);
   const net::Socket deaf = net::connect_to(p.front.address());
   const std::string body(16000, 'x');
@@ -281,9 +282,9 @@
 TEST_CASE("connections by dozens that say nothing cost those that ask no place") {
   resp::Front::Limits limits;
   limits.clients = limits.newcomers = 4;
-  Platform p(1, limits);
+  FrontFixture p(1, limits);
   Client usual(p.world, p.front.address());
-  usual.say({"CHECK", "1"});
+  usual.send_command({"CHECK", "1"});
   REQUIRE(usual.answer("1") != nullptr);
   std::list<Client> silent;
   for (int i = 0; i < 40; ++i) silent.emplace_back(p.world, p.front.address());
@@ -296,19 +297,19 @@
 }
 
 TEST_CASE("calls that are taken back in the bytes they came in reach no host") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   for (int i = 1; i <= 20; ++i) c.call(std::to_string(i), "bin-check", std::to_string(i));
-  for (int i = 1; i <= 19; ++i) c.say({"CANCEL", std::to_string(i)});
+  for (int i = 1; i <= 19; ++i) c.send_command({"CANCEL", std::to_string(i)});
   REQUIRE(c.answer("20") != nullptr);
   CHECK(c.answer("20")->at(1) == "OK");
-  CHECK(c.got.size() == 1);
+  CHECK(c.replies.size() == 1);
   CHECK(p.world.host[0]->runs.size() == 1);
   CHECK(p.world.counters.value(core::Counter::resp_taken_back) == 19);
 }
 
 TEST_CASE("a client that sends the same again whenever it is turned away is closed in the end") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   for (int i = 1; !c.closed && i < 1000; ++i) {
     c.call(std::to_string(i), "no-class", "x");
@@ -321,7 +322,7 @@
 TEST_CASE(
     "an answer that breaks off, or a host that hangs up: a bin-record is failed, a bin-check goes "
     "elsewhere") {
-  Platform p(2);
+  FrontFixture p(2);
   const auto kind = GENERATE(Kind::half, Kind::hang_up);
   int broken = 0;
   for (auto& h : p.world.host) {
--- a/tests/invoker/host_connections_test.cpp
+++ b/tests/invoker/host_connections_test.cpp
@@ -12,7 +12,7 @@
 using Kind = Reaction::Kind;
 
 TEST_CASE("an answer that is spoilt or never whole ends its connection once; the host goes on with calls") {
-  Platform p(1);
+  FrontFixture p(1);
   // no_length: found in review; an answer cut short of its length was served as an empty body.
   const auto kind = GENERATE(Kind::noise, Kind::stall, Kind::silence, Kind::no_length);
   int execs = 0;
@@ -40,7 +40,7 @@
 
 // Failure found (inc142): 1.2 health checks a request were sent, each a probe, of hosts that loaded a copy.
 TEST_CASE("a link that waits for one long call is checked seldom; one that is cut off is ended") {
-  Platform p(1);
+  FrontFixture p(1);
   auto& host = *p.world.host[0];
   host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("an answer that brings more than belongs to it is taken; nothing new goes over its connection") {
-  Platform p(1);
+  FrontFixture p(1);
   const auto kind = GENERATE(Kind::twice, Kind::stranger);
   const std::string word = GENERATE("data", "full");
   int execs = 0;
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("a refused connect proves that nothing ran: a bin-record goes on to another host") {
-  Platform p(2);
+  FrontFixture p(2);
   p.world.host[0]->server.stop();
   Client c(p.world, p.front.address());
   for (int i = 1; i <= 6; ++i) c.call(std::to_string(i), "bin-record", std::to_string(i));
@@ -122,11 +122,11 @@
 }
 
 TEST_CASE("a host notified as draining gets nothing new, and its open calls end there") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  p.world.tell(pathstack::policy::WorkerState::draining);
+  p.world.publish_hosts(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-check", "y", 300);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -245,12 +245,12 @@
 }
 
 TEST_CASE("a host reborn at its old address is reached over a new connection") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
   const auto opened = p.world.counters.value(core::Counter::hosts_links_opened);
-  p.world.tell(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
+  p.world.publish_hosts(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
@@ -258,7 +258,7 @@
 }
 
 TEST_CASE("a host that answers nothing: the call is failed at its deadline and the next one asks anew") {
-  Platform p(1);
+  FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x", 600);
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -235,17 +235,17 @@
   const net::ScopedSystemCalls scope(calls);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   const double first_start = 1e6;
-  world.tell(pathstack::policy::WorkerState::ready, first_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, first_start);
   world.fleet.send_attempt({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   const double second_start = first_start + GENERATE(-3600e3, -1.0, 1.0, 3600e3);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   CHECK(calls.connects == 2);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({3, 0}, "h0", call_of("000000000000000c"), Millis(5000));
   CHECK(calls.connects == 2);
-  world.tell(pathstack::policy::WorkerState::ready, 0);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, 0);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({4, 0}, "h0", call_of("000000000000000d"), Millis(5000));
   CHECK(calls.connects == 2);  // neither does the same stamp again nor none
 }
--- a/tests/invoker/links_test.cpp
+++ b/tests/invoker/links_test.cpp
@@ -135,7 +135,7 @@
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   world.fleet.send_attempt({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
-  world.tell(pathstack::policy::WorkerState::ready, world.loop.now().count());
+  world.publish_hosts(pathstack::policy::WorkerState::ready, world.loop.now().count());
   world.fleet.send_attempt({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 2; }, 2000));
   CHECK(world.counters.value(core::Counter::hosts_no_link) == 0);
--- a/tests/invoker/support/platform.h
+++ b/tests/invoker/support/platform.h
@@ -17,7 +17,7 @@
  public:
   Client(World& world, const std::string& address)
       : Stream(world.loop, world.pool, net::connect_to(address), true), world_(world) {}
-  void say(const std::vector<std::string_view>& words) {
+  void send_command(const std::vector<std::string_view>& words) {
     std::string out;
     resp::write_array(out, words);
     write(out);
@@ -26,30 +26,30 @@
     const std::string fields = "ref=" + net::hex16(std::hash<std::string>()(tag + body)) +
                                ",allow=" + std::to_string(allow) +
                                ",lookup=00000000000000a1,spec=memory_mb:300;lanes:4";
-    say({"CALL", tag, cls, fields, body});
+    send_command({"CALL", tag, cls, fields, body});
   }
   const resp::Words* answer(const std::string& tag) {
     const auto has = [&] {
-      return std::any_of(got.begin(), got.end(), [&](const auto& w) { return w[0] == tag; });
+      return std::any_of(replies.begin(), replies.end(), [&](const auto& w) { return w[0] == tag; });
     };
     if (!world_.turn_until([&] { return has() || closed; }, 20000) || !has()) return nullptr;
-    return &*std::find_if(got.begin(), got.end(), [&](const auto& w) { return w[0] == tag; });
+    return &*std::find_if(replies.begin(), replies.end(), [&](const auto& w) { return w[0] == tag; });
   }
-  std::vector<resp::Words> got;
+  std::vector<resp::Words> replies;
   bool closed = false;
 
  private:
   World& world_;
   resp::Parser parser_;
   void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, got)); }
+  void received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, replies)); }
   void ended() override { closed = true; }
 };
 
-struct Platform {
+struct FrontFixture {
   World world;
   resp::Front front;
-  explicit Platform(std::size_t hosts, resp::Front::Limits limits = {}, std::size_t write_buffers = 4096)
+  explicit FrontFixture(std::size_t hosts, resp::Front::Limits limits = {}, std::size_t write_buffers = 4096)
       : world(hosts, settings(), World::limits(), write_buffers),
         front(world.loop, world.pool, world.dispatcher, world.counters, limits) {
     REQUIRE(front.listen("127.0.0.1:0"));
--- a/tests/invoker/support/world.h
+++ b/tests/invoker/support/world.h
@@ -25,19 +25,19 @@
             s, [this] { return loop.now(); }, fleet, counters) {
     fleet.attach(dispatcher);
     for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
-    tell(pathstack::policy::WorkerState::ready);
+    publish_hosts(pathstack::policy::WorkerState::ready);
   }
   // The whole list anew; the given state is that of all hosts, or of one.
-  void tell(pathstack::policy::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
-    states.resize(host.size());
+  void publish_hosts(pathstack::policy::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
+    host_states.resize(host.size());
     core::MemberList list{true, {}};
     core::HostList entries{core::ListKind::full, {}};
     for (std::size_t i = 0; i < host.size(); ++i) {
       core::Member member;
       member.entry.worker = "h" + std::to_string(i);
-      if (one == SIZE_MAX || one == i) states[i] = {state, Millis(started), loop.now()};
-      member.entry.state = states[i].state;
-      member.entry.started = states[i].started;
+      if (one == SIZE_MAX || one == i) host_states[i] = {state, Millis(started), loop.now()};
+      member.entry.state = host_states[i].state;
+      member.entry.started = host_states[i].started;
       member.address = host[i]->server.address();
       list.members.push_back(member);
       entries.entries.push_back(member.entry);
@@ -58,7 +58,7 @@
     l.report_fields = {"inflight", "util"};
     return l;
   }
-  struct Told {
+  struct HostState {
     pathstack::policy::WorkerState state = pathstack::policy::WorkerState::gone;
     Millis started{0}, at{0};
   };
@@ -66,7 +66,7 @@
   net::BufferPool pool;
   core::Counters counters;
   std::vector<std::unique_ptr<StandInHost>> host;
-  std::vector<Told> states;
+  std::vector<HostState> host_states;
   hosts::ConnectionPool fleet;
   core::Dispatcher dispatcher;
 };
--- a/tests/invoker/triggers_chaos.cpp
+++ b/tests/invoker/triggers_chaos.cpp
@@ -66,7 +66,7 @@
 }
 
 Reaction ChaosRun::react(std::size_t host) {
-  const auto& listed = triggers_.world.states[host];
+  const auto& listed = triggers_.world.host_states[host];
   const bool draining = listed.state != policy::WorkerState::ready;
   const bool grace_is_over = triggers_.world.loop.now() - listed.at > settings_.drain_grace;
   if (draining && grace_is_over) ++tally_.sent_after_drain;
@@ -109,8 +109,8 @@
   const std::size_t returning = tally_.hosts_drained % kHosts;
   ++tally_.hosts_drained;
   const std::size_t leaving = tally_.hosts_drained % kHosts;
-  world.tell(policy::WorkerState::ready, world.loop.now().count(), returning);
-  world.tell(policy::WorkerState::draining, 0, leaving);
+  world.publish_hosts(policy::WorkerState::ready, world.loop.now().count(), returning);
+  world.publish_hosts(policy::WorkerState::draining, 0, leaving);
 }
 
 void ChaosRun::count_answers() {
