--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -14,13 +14,13 @@
 
 using core::Millis;
 
-constexpr Millis kStatusInterval{5000};  // of the log's status lines
-constexpr Millis kShutdownInterval{20};  // of looks at whether the end has come
-constexpr Millis kListenRetryFor{5000};  // while the listener cannot be opened for a moment
-constexpr Millis kListenRetryPause{100};
+constexpr Millis kStatusInterval{5000};   // of the log's status lines
+constexpr Millis kShutdownInterval{20};   // of looks at whether the end has come
+constexpr Millis kListenRetryTime{5000};  // while the listener cannot be opened for a moment
+constexpr Millis kListenRetryDelay{100};
 constexpr const char* kProgram = "pathstack-invoker";
 
-std::string environment(const char* name) {
+std::string environment_variable(const char* name) {
   const char* const value = std::getenv(name);
   return value == nullptr ? std::string() : value;
 }
@@ -30,8 +30,8 @@
   if (path.empty()) {
     throw config::ConfigError("configuration: BALANCER_CONFIG: not set, and no file was named");
   }
-  return config::read_config(config::read_config_file(path), environment("BALANCER_NAME"),
-                             environment("BALANCER_LISTEN"));
+  return config::read_config(config::read_config_file(path), environment_variable("BALANCER_NAME"),
+                             environment_variable("BALANCER_LISTEN"));
 }
 
 }  // namespace
@@ -41,30 +41,30 @@
     : config_file_(std::move(config_file)),
       signals_(loop_),
       config_(read_configuration(config_file_)),
-      log_(STDOUT_FILENO, counters_),
-      errors_(STDERR_FILENO, counters_),
-      events_([this] { return loop_.now(); }, [this](const std::string& line) { log_.write_line(line); },
-              counters_),
-      pool_(memory_quarter(config_) / net::BufferPool::kBlockSize),
-      fleet_(loop_, pool_, counters_, host_limits(config_)),
+      output_(STDOUT_FILENO, counters_),
+      error_output_(STDERR_FILENO, counters_),
+      event_log_([this] { return loop_.now(); },
+                 [this](const std::string& line) { output_.write_line(line); }, counters_),
+      buffers_(memory_quarter(config_) / net::BufferPool::kBlockSize),
+      connection_pool_(loop_, buffers_, counters_, host_limits(config_)),
       dispatcher_(
-          config_.settings, [this] { return loop_.now(); }, fleet_, counters_),
+          config_.settings, [this] { return loop_.now(); }, connection_pool_, counters_),
       shutdown_(longest_deadline(config_.settings)),
-      front_(loop_, pool_, dispatcher_, counters_, client_limits(config_)),
+      resp_front_(loop_, buffers_, dispatcher_, counters_, client_limits(config_)),
       reloader_(
           loop_, [this] { reload(); },
-          [this](const std::string& fault, bool last) { on_reload_fault(fault, last); }) {
-  fleet_.attach(dispatcher_);
-  dispatcher_.set_event_log(events_);
+          [this](const std::string& fault, bool last) { report_reload_fault(fault, last); }) {
+  connection_pool_.attach(dispatcher_);
+  dispatcher_.set_event_log(event_log_);
   start_membership();
   start_listening();
   if (terminated_at_start_) return;
-  start_triggers();
+  start_amqp();
   next_status_ = loop_.now() + kStatusInterval;
 }
 
 void Invoker::update_members(const core::MemberList& list, core::ListKind kind) {
-  fleet_.members(list);  // first: what the module sends next needs the addresses
+  connection_pool_.members(list);  // first: what the module sends next needs the addresses
   core::HostList entries{kind, {}};
   for (const auto& member : list.members) entries.entries.push_back(member.entry);
   dispatcher_.update_hosts(std::move(entries));
@@ -74,14 +74,14 @@
 void Invoker::update_list_lease(const feed::ListLease& lease) {
   const Millis until = lease.until();
   list_current_until_ = until;
-  fleet_.list_lease(until);
+  connection_pool_.list_lease(until);
   dispatcher_.update_list_lease(until, lease.later_changes_from());
 }
 
 void Invoker::log_list_state() {
   const bool is_current = loop_.now() <= list_current_until_;
   if (is_current == std::exchange(list_was_current_, is_current)) return;
-  events_.write(is_current ? "membership.current" : "membership.stale", {});
+  event_log_.write(is_current ? "membership.current" : "membership.stale", {});
 }
 
 feed::EventSequence Invoker::apply_known_events() {
@@ -109,9 +109,9 @@
     update_members(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
   if (!config_.xds) {
-    membership_client_.emplace(loop_, pool_, counters_, config_.changelog, known, on_update,
+    membership_client_.emplace(loop_, buffers_, counters_, config_.changelog, known, on_update,
                                memory_quarter(config_), config_.seed);
-    membership_client_->log_to(events_);
+    membership_client_->log_to(event_log_);
     membership_client_->observe_lease([this](const feed::ListLease& lease) { update_list_lease(lease); });
     membership_client_->start();
     return;
@@ -125,39 +125,39 @@
 
 void Invoker::start_listening() {
   if (config_.listen.empty()) return;
-  const Millis give_up = loop_.now() + kListenRetryFor;
+  const Millis retry_until = loop_.now() + kListenRetryTime;
   bool reported = false;
-  while (!front_.listen(config_.listen)) {
-    const std::error_code error = front_.listen_error();
+  while (!resp_front_.listen(config_.listen)) {
+    const std::error_code error = resp_front_.listen_error();
     const std::string fault = "cannot listen on " + config_.listen + ": " + error.message();
-    if (!net::is_transient_listen_error(error) || loop_.now() >= give_up) {
+    if (!net::is_transient_listen_error(error) || loop_.now() >= retry_until) {
       throw config::ConfigError("configuration: listen: " + fault);
     }
     if (!std::exchange(reported, true)) report_error(fault + "; retrying");
-    if (!run_until(loop_.now() + kListenRetryPause)) {
+    if (!run_until(loop_.now() + kListenRetryDelay)) {
       terminated_at_start_ = true;
       return;
     }
   }
-  log_event("listens on " + front_.address());
+  log_event("listens on " + resp_front_.address());
 }
 
 // Serves the membership and the signals meanwhile. False, at once, if the program is to end.
 bool Invoker::run_until(Millis end) {
   while (loop_.now() < end) {
     loop_.turn(std::min(end, dispatcher_.next_due()), [this] { dispatcher_.tick(); });
-    log_.flush();
-    errors_.flush();
-    if (serve_signals()) return false;
+    output_.flush();
+    error_output_.flush();
+    if (handle_signals()) return false;
   }
   return true;
 }
 
-void Invoker::start_triggers() {
+void Invoker::start_amqp() {
   if (!config_.amqp) return;
-  triggers_.emplace(loop_, pool_, dispatcher_, counters_, config_.settings, broker_settings(*config_.amqp),
-                    trigger_limits(*config_.amqp));
-  triggers_->start();
+  amqp_front_.emplace(loop_, buffers_, dispatcher_, counters_, config_.settings,
+                      broker_settings(*config_.amqp), amqp_limits(*config_.amqp));
+  amqp_front_->start();
   log_event("takes triggers from " + config_.amqp->broker);
 }
 
@@ -176,13 +176,13 @@
 }
 
 // The old configuration goes on.
-void Invoker::on_reload_fault(const std::string& fault, bool last) {
+void Invoker::report_reload_fault(const std::string& fault, bool last) {
   counters_.add(core::Counter::config_faulty);
   report_error(last ? fault + "; not read again before the next SIGHUP" : fault);
 }
 
 // True if the program is to end.
-bool Invoker::serve_signals() {
+bool Invoker::handle_signals() {
   const Signals signals = signals_.take();
   if (signals.print_counters) log_counters();
   if (signals.reload) reloader_.request();
@@ -194,17 +194,17 @@
   while (true) {
     Millis due = std::min(dispatcher_.next_due(), next_status_);
     if (loop_.now() >= next_status_) log_status();
-    if (shutdown_.begun()) due = std::min(due, loop_.now() + kShutdownInterval);
+    if (shutdown_.started()) due = std::min(due, loop_.now() + kShutdownInterval);
     loop_.turn(due, [this] { dispatcher_.tick(); });
     log_list_state();
-    log_.flush();
-    errors_.flush();
-    const bool terminate = serve_signals();
+    output_.flush();
+    error_output_.flush();
+    const bool terminate = handle_signals();
     const Millis now = loop_.now();
-    if (terminate && !shutdown_.begun()) begin_shutdown(now);
-    if (shutdown_.begun() && shutdown_done(now)) break;
+    if (terminate && !shutdown_.started()) begin_shutdown(now);
+    if (shutdown_.started() && advance_shutdown(now)) break;
   }
-  if (triggers_) triggers_->close();
+  if (amqp_front_) amqp_front_->close();
   // What is read in this last turn is answered too.
   loop_.turn(loop_.now(), [this] { dispatcher_.finish_all(); });
   close_clients();
@@ -213,49 +213,50 @@
 }
 
 void Invoker::begin_shutdown(Millis now) {
-  shutdown_.begin(now);
+  shutdown_.start(now);
   log_event("ends: " + std::to_string(dispatcher_.open_calls()) + " calls open");
-  front_.drain();
-  if (triggers_) triggers_->drain();
+  resp_front_.drain();
+  if (amqp_front_) amqp_front_->drain();
 }
 
 // Carries out what is due by now; true once the program may end.
-bool Invoker::shutdown_done(Millis now) {
-  const bool listener_closed = !shutdown_.listens(now) && front_.stop_listening();
-  if (shutdown_.answers_due(now)) dispatcher_.finish_all();
-  const bool clients_served = front_.open_calls() == 0 && !front_.reading() && front_.written();
-  const bool triggers_served = !triggers_ || triggers_->done();
-  const bool all_served = clients_served && triggers_served;
-  const bool nothing_comes = listener_closed && !shutdown_.requests_come(now);
-  return (nothing_comes && all_served) || shutdown_.over(now);
+bool Invoker::advance_shutdown(Millis now) {
+  const bool listener_closed = !shutdown_.accepts_connections(now) && resp_front_.stop_listening();
+  if (shutdown_.final_answers_due(now)) dispatcher_.finish_all();
+  const bool clients_served =
+      resp_front_.open_calls() == 0 && !resp_front_.reading() && resp_front_.written();
+  const bool amqp_served = !amqp_front_ || amqp_front_->done();
+  const bool all_served = clients_served && amqp_served;
+  const bool no_new_input = listener_closed && !shutdown_.accepts_requests(now);
+  return (no_new_input && all_served) || shutdown_.must_exit(now);
 }
 
 // The exit closes what is open by then. Unread input would turn that into a reset, which can overtake the
 // last answers: so connections are closed in order, and the clients are given time to read and close theirs.
 void Invoker::close_clients() {
-  front_.close_connections();
+  resp_front_.close_connections();
   const Millis until = shutdown_.linger_until(loop_.now());
   do {
     loop_.turn(until, [] {});
-  } while (!front_.closed() && loop_.now() < until);
+  } while (!resp_front_.closed() && loop_.now() < until);
 }
 
 void Invoker::log_status() {
   next_status_ = loop_.now() + kStatusInterval;
   const std::string line = counters_.status(dispatcher_.module_statistics());
-  if (!line.empty()) log_.write_line(line);
+  if (!line.empty()) output_.write_line(line);
 }
 
 void Invoker::report_error(const std::string& error) {
-  errors_.write_line(std::string(kProgram) + ": " + error);
+  error_output_.write_line(std::string(kProgram) + ": " + error);
 }
 
 void Invoker::log_event(const std::string& text) {
-  log_.write_line(std::string(kProgram) + ' ' + config_.name + ' ' + text);
+  output_.write_line(std::string(kProgram) + ' ' + config_.name + ' ' + text);
 }
 
 void Invoker::log_counters() {
-  for (const auto& line : counters_.lines()) log_.write_line(line);
+  for (const auto& line : counters_.lines()) output_.write_line(line);
 }
 
 }  // namespace pathstack::app
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -24,9 +24,10 @@
 
 /// Owns the parts of one invoker and runs them on one thread.
 ///
-/// Clients' calls go from `front_` (RESP) or `triggers_` (AMQP) to `dispatcher_`, which asks the decision
-/// module and sends attempts through `fleet_`. Lists of hosts come from `membership_client_` (the
-/// change log) or `host_file_` (xDS) and go to `fleet_` first, then to `dispatcher_`.
+/// Clients' calls go from `resp_front_` (RESP) or `amqp_front_` (AMQP) to `dispatcher_`, which asks the
+/// decision module and sends attempts through `connection_pool_`. Lists of hosts come from
+/// `membership_client_` (the change log) or `host_file_` (xDS) and go to `connection_pool_` first, then to
+/// `dispatcher_`.
 class Invoker {
  public:
   /// Reads the configuration file and starts all parts. Throws config::ConfigError, which names the faulty
@@ -42,16 +43,16 @@
   SignalPipe signals_;
   config::Config config_;
   core::Counters counters_;
-  core::LogWriter log_, errors_;
-  core::EventLog events_;
-  net::BufferPool pool_;
-  hosts::ConnectionPool fleet_;
+  core::LogWriter output_, error_output_;
+  core::EventLog event_log_;
+  net::BufferPool buffers_;
+  hosts::ConnectionPool connection_pool_;
   core::Dispatcher dispatcher_;
   core::Shutdown shutdown_;
-  resp::Front front_;
+  resp::Front resp_front_;
   std::optional<feed::MembershipClient> membership_client_;
   std::optional<xds::HostFile> host_file_;
-  std::optional<amqp::Front> triggers_;
+  std::optional<amqp::Front> amqp_front_;
   Reloader reloader_;
   core::Millis next_status_{0};
   core::Millis list_current_until_{std::numeric_limits<double>::infinity()};
@@ -66,19 +67,19 @@
   /// Serves the membership and the signals until `end`; false, at once, if the program is to end.
   bool run_until(core::Millis end);
   /// True if the program is to end.
-  bool serve_signals();
-  void start_triggers();
+  bool handle_signals();
+  void start_amqp();
   void update_list_lease(const feed::ListLease& lease);
   /// Logs that the list of hosts has become stale, or is current again.
   void log_list_state();
   void update_members(const core::MemberList& list, core::ListKind kind);
   /// Reads the configuration anew; throws config::ConfigError, and has then changed nothing.
   void reload();
-  void on_reload_fault(const std::string& fault, bool last);
+  void report_reload_fault(const std::string& fault, bool last);
   void begin_shutdown(core::Millis now);
   void close_clients();
   /// Carries out what is due by `now`; true once the program may end.
-  bool shutdown_done(core::Millis now);
+  bool advance_shutdown(core::Millis now);
   void log_status();
   void log_counters();
   void log_event(const std::string& text);
--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -55,7 +55,7 @@
   return broker;
 }
 
-amqp::Front::Limits trigger_limits(const config::AmqpConfig& config) {
+amqp::Front::Limits amqp_limits(const config::AmqpConfig& config) {
   return {config.open_calls, config.remembered, bytes_of_mb(config.remembered_mb)};
 }
 
--- a/src/app/part_settings.h
+++ b/src/app/part_settings.h
@@ -27,7 +27,7 @@
 amqp::BrokerSettings broker_settings(const config::AmqpConfig& config);
 
 /// The bounds on what AMQP triggers hold.
-amqp::Front::Limits trigger_limits(const config::AmqpConfig& config);
+amqp::Front::Limits amqp_limits(const config::AmqpConfig& config);
 
 /// The longest deadline of any class of calls.
 core::Millis longest_deadline(const core::Settings& settings);
--- a/src/app/reloader.h
+++ b/src/app/reloader.h
@@ -11,12 +11,12 @@
 namespace pathstack::app {
 
 /// Calls `reload` on request, and again with backoff while it throws: the signal may come when the file has
-/// been written half, or is just being replaced. Bounded: after `kAttempts`, 4.75 s from the request, it
+/// been written half, or is just being replaced. Bounded: after `kMaxAttempts`, 4.75 s from the request, it
 /// gives up. A new request starts anew.
 class Reloader {
  public:
-  static constexpr std::size_t kAttempts = 13;
-  static constexpr core::Millis kRetryFirst{50}, kRetryMost{500};
+  static constexpr std::size_t kMaxAttempts = 13;
+  static constexpr core::Millis kFirstRetryDelay{50}, kMaxRetryDelay{500};
 
   /// Throws what names the fault, and has then changed nothing.
   using Reload = std::function<void()>;
@@ -39,11 +39,11 @@
   OnFault on_fault_;
   net::Loop::TimerId retry_{};
   std::size_t attempts_ = 0;
-  core::Millis pause_{0};
-  std::string fault_;
+  core::Millis retry_delay_{0};
+  std::string last_fault_;
 
-  void attempt();
-  void failed(const std::string& fault);
+  void try_reload();
+  void on_failure(const std::string& fault);
 };
 
 }  // namespace pathstack::app
--- a/src/app/signal_pipe.cpp
+++ b/src/app/signal_pipe.cpp
@@ -19,7 +19,7 @@
 volatile std::sig_atomic_t g_write_fd = -1;
 
 constexpr int kPipeAttempts = 60;
-constexpr std::chrono::milliseconds kPipeRetryPause{50};
+constexpr std::chrono::milliseconds kPipeRetryDelay{50};
 
 void on_signal(int signal) {
   switch (signal) {
@@ -49,7 +49,7 @@
     if (!is_transient || attempt == kPipeAttempts) {
       throw std::system_error(error, std::generic_category(), "no pipe for signals");
     }
-    net::pause_for(kPipeRetryPause);
+    net::pause_for(kPipeRetryDelay);
   }
 }
 
--- a/src/core/call_references.cpp
+++ b/src/core/call_references.cpp
@@ -2,9 +2,9 @@
 
 namespace pathstack::core {
 
-void CallReferences::end(const std::string& ref, Millis now) {
+void CallReferences::note_ended(const std::string& ref, Millis now) {
   ended_.emplace_back(now, ref);
-  while (now - ended_.front().first > kKeptAfterEnd || ended_.size() > kMaxEnded) {
+  while (now - ended_.front().first > kRetentionTime || ended_.size() > kMaxEnded) {
     refs_.erase(ended_.front().second);
     ended_.pop_front();
   }
--- a/src/core/call_references.h
+++ b/src/core/call_references.h
@@ -19,7 +19,7 @@
 /// clock; both operations take amortised constant time.
 class CallReferences {
  public:
-  static constexpr Millis kKeptAfterEnd{10000};
+  static constexpr Millis kRetentionTime{10000};
   static constexpr std::size_t kMaxEnded = 8192;
 
   /// Adds the reference of a call that opens; false, and nothing is added, if it is in use or ended lately.
@@ -27,7 +27,7 @@
 
   /// The call under `ref` has ended at `now`. Must follow one `try_add` that succeeded, once, and `now` must
   /// not decrease from call to call. The only place where references are forgotten.
-  void end(const std::string& ref, Millis now);
+  void note_ended(const std::string& ref, Millis now);
 
   /// References that can't be added.
   std::size_t size() const { return refs_.size(); }
--- a/src/core/call_validator.cpp
+++ b/src/core/call_validator.cpp
@@ -5,15 +5,15 @@
 namespace pathstack::core {
 namespace {
 
-constexpr int kMaxSlots = 1024;           // concurrency slots of one instance
-constexpr double kMaxMemoryMbElse = 1e6;  // where the settings don't state the memory of hosts
+constexpr int kMaxSlots = 1024;              // concurrency slots of one instance
+constexpr double kDefaultMaxMemoryMb = 1e6;  // where the settings don't state the memory of hosts
 // On sockets each time limit of the settings grows by this: clients are seen to wait a few ms past it.
 constexpr Millis kTimeLimitSlack{50};
 
 double largest_memory_mb(const Settings& settings) {
   double largest = 0;
   for (const auto& [kind, megabytes] : settings.kind_memory_mb) largest = std::max(largest, megabytes);
-  return largest > 0 ? largest : kMaxMemoryMbElse;
+  return largest > 0 ? largest : kDefaultMaxMemoryMb;
 }
 
 }  // namespace
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -8,8 +8,8 @@
 namespace pathstack::core {
 namespace {
 
-constexpr std::string_view kPresentValue = "now.";  // begins the name of a figure that is not a count
-constexpr int kFigureDigits = 4;
+constexpr std::string_view kGaugePrefix = "now.";  // begins the name of a figure that is not a count
+constexpr int kStatisticDigits = 4;
 
 }  // namespace
 
@@ -23,17 +23,17 @@
   return out;
 }
 
-std::string Counters::status(const std::map<std::string, double>& module_figures) {
+std::string Counters::status(const std::map<std::string, double>& module_statistics) {
   std::ostringstream line;
   for (std::size_t i = 0; i < kCounterCount; ++i) {
-    const std::uint64_t more = values_.at(i) - std::exchange(reported_.at(i), values_.at(i));
-    if (more > 0) line << ' ' << counter_info(static_cast<Counter>(i)).name << '=' << more;
+    const std::uint64_t amount = values_.at(i) - std::exchange(reported_.at(i), values_.at(i));
+    if (amount > 0) line << ' ' << counter_info(static_cast<Counter>(i)).name << '=' << amount;
   }
   if (line.tellp() == std::streampos(0)) return {};
-  line << std::setprecision(kFigureDigits);
-  for (const auto& [name, value] : module_figures) {
-    const bool is_present_value = name.compare(0, kPresentValue.size(), kPresentValue) == 0;
-    const double shown = is_present_value ? value : value - std::exchange(reported_figures_[name], value);
+  line << std::setprecision(kStatisticDigits);
+  for (const auto& [name, value] : module_statistics) {
+    const bool is_gauge = name.compare(0, kGaugePrefix.size(), kGaugePrefix) == 0;
+    const double shown = is_gauge ? value : value - std::exchange(reported_statistics_[name], value);
     if (shown > 0) line << ' ' << name << '=' << shown;
   }
   return "status" + line.str();
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -14,7 +14,7 @@
 /// The values of all counters since the start of the program. Used on the loop's thread only.
 class Counters {
  public:
-  void add(Counter counter, std::uint64_t more = 1) { values_.at(index(counter)) += more; }
+  void add(Counter counter, std::uint64_t amount = 1) { values_.at(index(counter)) += amount; }
   std::uint64_t value(Counter counter) const { return values_.at(index(counter)); }
 
   /// All counters that are not 0, a line each. Cost: the number of counters.
@@ -23,11 +23,11 @@
   /// One line with what was counted since the last call, then the figures of the decision module: their
   /// growth since the last call, or as they are for names that begin with "now.". Empty if nothing was
   /// counted.
-  std::string status(const std::map<std::string, double>& module_figures);
+  std::string status(const std::map<std::string, double>& module_statistics);
 
  private:
   std::array<std::uint64_t, kCounterCount> values_{}, reported_{};
-  std::map<std::string, double> reported_figures_;
+  std::map<std::string, double> reported_statistics_;
 
   static std::size_t index(Counter counter) { return static_cast<std::size_t>(counter); }
 };
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // What the module leaves open is ended this long after its deadline, inside the grace that the rules give.
-constexpr Millis kOverdue{2};
-constexpr Millis kMinTimeout{1};  // of an attempt
+constexpr Millis kOverdueGrace{2};
+constexpr Millis kMinAttemptTimeout{1};  // of an attempt
 
-Counter counter_of(CallStatus status) {
+Counter counter_for(CallStatus status) {
   switch (status) {
     case CallStatus::served: return Counter::calls_served;
     case CallStatus::refused: return Counter::calls_refused;
@@ -36,7 +36,7 @@
 }
 
 // Nothing unless `attempt` is the one that the call has open.
-OpenCall* Dispatcher::find_call_with(const Attempt& attempt) {
+OpenCall* Dispatcher::find_call_by_attempt(const Attempt& attempt) {
   OpenCall* call = find_call(attempt.call);
   const bool is_open = call != nullptr && call->attempt() && call->attempt()->attempt == attempt;
   return is_open ? call : nullptr;
@@ -67,7 +67,7 @@
   const bool runs_once = must_run_once(call.class_name);
   const auto added = calls_.insert_or_assign(id, OpenCall(std::move(call), front, runs_once)).first;
   const Call& taken = added->second.call();
-  deadlines_.push({taken.arrived + taken.client_timeout + kOverdue, id, Deadline::kOfCall});
+  deadlines_.push({taken.arrived + taken.client_timeout + kOverdueGrace, id, Deadline::kCallDeadline});
   apply_steps(module_.add_call(clock_(), id, taken));
   return true;
 }
@@ -84,7 +84,7 @@
   }
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  references_.end(found->second.call().ref, clock_());
+  references_.note_ended(found->second.call().ref, clock_());
   calls_.erase(found);
 }
 
@@ -114,7 +114,7 @@
 }
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
-  OpenCall* call = find_call_with(attempt);
+  OpenCall* call = find_call_by_attempt(attempt);
   if (call == nullptr) return;
   const OpenAttempt closed = call->close_attempt(end.outcome);
   const Millis now = clock_();
@@ -156,17 +156,17 @@
   while (!deadlines_.empty() && deadlines_.top().at <= now) {
     const Deadline deadline = deadlines_.top();
     deadlines_.pop();
-    if (deadline.attempt == Deadline::kOfCall) {
-      call_overdue(deadline.call);
+    if (deadline.attempt == Deadline::kCallDeadline) {
+      fail_overdue_call(deadline.call);
     } else {
-      attempt_timed_out({deadline.call, deadline.attempt});
+      time_out_attempt({deadline.call, deadline.attempt});
     }
   }
 }
 
 // The attempt may have ended long ago.
-void Dispatcher::attempt_timed_out(const Attempt& attempt) {
-  OpenCall* call = find_call_with(attempt);
+void Dispatcher::time_out_attempt(const Attempt& attempt) {
+  OpenCall* call = find_call_by_attempt(attempt);
   if (call == nullptr) return;
   counters_.add(Counter::attempts_timed_out);
   const bool may_have_run = hosts_.cancel(attempt);
@@ -174,7 +174,7 @@
 }
 
 // The module must answer every call in time; one that it forgot would never be answered but for this.
-void Dispatcher::call_overdue(CallId id) {
+void Dispatcher::fail_overdue_call(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_overdue);
   apply_steps(module_.report(clock_(), CallAbandoned{id}));
@@ -205,8 +205,8 @@
   const Millis now = clock_();
   const Millis time_left = call->time_left(now);
   const Millis timeout = step.timeout.count() > 0 ? std::min(step.timeout, time_left) : time_left;
-  if (timeout < kMinTimeout || !call->may_send(attempt.number, settings_.max_attempts)) {
-    return refuse_send(step, attempt, call->attempt().has_value());
+  if (timeout < kMinAttemptTimeout || !call->may_send(attempt.number, settings_.max_attempts)) {
+    return reject_send(step, attempt, call->attempt().has_value());
   }
   counters_.add(Counter::attempts_sent);
   call->open_attempt({attempt, step.host, now});
@@ -214,7 +214,7 @@
   hosts_.send_attempt(attempt, step.host, call->call(), timeout);
 }
 
-void Dispatcher::refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
+void Dispatcher::reject_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
   const Millis now = clock_();
   counters_.add(Counter::guard_send_stopped);
   if (!other_attempt_open) finish(step.call, Answer{});
@@ -238,7 +238,7 @@
 void Dispatcher::apply(const FailStep& step) { finish(step.call, Answer{}); }
 
 void Dispatcher::apply(const CancelStep& step) {
-  OpenCall* call = find_call_with(step.attempt);
+  OpenCall* call = find_call_by_attempt(step.attempt);
   if (call == nullptr) return;
   counters_.add(Counter::attempts_cancelled);
   const bool may_have_run = hosts_.cancel(step.attempt);
@@ -259,8 +259,8 @@
   if (found == calls_.end()) return;
   OpenCall call = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
-  references_.end(call.call().ref, clock_());
-  counters_.add(counter_of(answer.status));
+  references_.note_ended(call.call().ref, clock_());
+  counters_.add(counter_for(answer.status));
   if (call.attempt()) hosts_.cancel(call.attempt()->attempt);
   if (answer.status != CallStatus::served) log_unserved(call, answer.status);
   call.front().answer(id, std::move(answer));
@@ -277,12 +277,12 @@
   }
   if (call.attempt()) attempts += (attempts.empty() ? "" : ",") + call.attempt()->host + ":open";
   const Millis now = clock_();
-  const auto whole = [](Millis span) { return std::to_string(static_cast<std::int64_t>(span.count())); };
+  const auto whole_ms = [](Millis span) { return std::to_string(static_cast<std::int64_t>(span.count())); };
   event_log_->write(status == CallStatus::refused ? "call.refused" : "call.failed",
                     {{"ref", call.call().ref},
                      {"class", call.call().class_name},
-                     {"age_ms", whole(now - call.call().arrived)},
-                     {"left_ms", whole(call.time_left(now))},
+                     {"age_ms", whole_ms(now - call.call().arrived)},
+                     {"left_ms", whole_ms(call.time_left(now))},
                      {"attempts", attempts.empty() ? "none" : attempts}});
 }
 
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -75,10 +75,10 @@
 
  private:
   struct Deadline {
-    static constexpr int kOfCall = -1;
+    static constexpr int kCallDeadline = -1;
     Millis at{0};
     CallId call = 0;
-    int attempt = kOfCall;  // its number, or `kOfCall` for the call's own deadline
+    int attempt = kCallDeadline;  // its number, or `kCallDeadline` for the call's own deadline
     bool operator>(const Deadline& o) const {
       return std::tie(at, call, attempt) > std::tie(o.at, o.call, o.attempt);
     }
@@ -110,12 +110,12 @@
   void apply(const UnloadStep& step) { hosts_.unload(step.host, step.function); }
 
   OpenCall* find_call(CallId id);
-  OpenCall* find_call_with(const Attempt& attempt);
+  OpenCall* find_call_by_attempt(const Attempt& attempt);
   bool is_valid(const Call& call);
   bool must_run_once(const std::string& class_name) const;
-  void refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open);
-  void attempt_timed_out(const Attempt& attempt);
-  void call_overdue(CallId id);
+  void reject_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open);
+  void time_out_attempt(const Attempt& attempt);
+  void fail_overdue_call(CallId id);
   void report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_finished);
   void finish(CallId id, Answer&& answer);
   void log_unserved(const OpenCall& call, CallStatus status);
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -31,11 +31,11 @@
     : clock_(std::move(clock)),
       write_line_(std::move(write_line)),
       counters_(counters),
-      filled_at_(clock_()) {}
+      refilled_at_(clock_()) {}
 
 bool EventLog::take_token(Millis now) {
-  const double elapsed = (now - filled_at_).count();
-  filled_at_ = now;
+  const double elapsed = (now - refilled_at_).count();
+  refilled_at_ = now;
   tokens_ = std::min(kBurst, tokens_ + elapsed * kLinesPerSecond / kMillisPerSecond);
   if (tokens_ < 1) return false;
   tokens_ -= 1;
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -38,7 +38,7 @@
   WriteLine write_line_;
   Counters& counters_;
   double tokens_ = kBurst;
-  Millis filled_at_;
+  Millis refilled_at_;
 
   bool take_token(Millis now);
   bool may_write(Millis now);
--- a/src/core/log_writer.cpp
+++ b/src/core/log_writer.cpp
@@ -10,9 +10,9 @@
 namespace pathstack::core {
 namespace {
 
-constexpr std::size_t kMaxPending = std::size_t{64} * 1024;
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;
 
-bool writable(int descriptor) {
+bool is_writable(int descriptor) {
   pollfd polled{descriptor, POLLOUT, 0};
   return poll(&polled, 1, 0) == 1 && (polled.revents & (POLLOUT | POLLERR | POLLHUP)) != 0;
 }
@@ -21,7 +21,7 @@
 
 void LogWriter::write_line(std::string_view line) {
   flush();
-  if (pending_.size() + line.size() + 1 > kMaxPending) {
+  if (pending_.size() + line.size() + 1 > kMaxPendingBytes) {
     counters_.add(Counter::log_lines_dropped);
     return;
   }
@@ -32,7 +32,7 @@
 
 void LogWriter::flush() {
   // A pipe that polls writable takes PIPE_BUF bytes at least without blocking.
-  while (!pending_.empty() && writable(descriptor_)) {
+  while (!pending_.empty() && is_writable(descriptor_)) {
     const ssize_t written =
         ::write(descriptor_, pending_.data(), std::min<std::size_t>(pending_.size(), PIPE_BUF));
     if (written >= 0) {
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -8,48 +8,48 @@
 namespace pathstack::core {
 
 /// Says what an invoker that shuts down still does at a time. Knows no clock; every call is O(1). Before
-/// `begin` everything goes on.
+/// `start` everything goes on.
 class Shutdown {
  public:
   /// `longest_deadline` is the longest of all classes.
   explicit Shutdown(Millis longest_deadline)
-      : answers_for_(std::min(longest_deadline, kLongestCounted) + kBeforeKill) {}
+      : answer_time_(std::min(longest_deadline, kMaxCountedDeadline) + kAnswerTimePastDeadline) {}
 
   /// SIGTERM came at `now`; a second one gives no more time.
-  void begin(Millis now) {
-    if (!begun_) began_at_ = now;
-    begun_ = true;
+  void start(Millis now) {
+    if (!started_) started_at_ = now;
+    started_ = true;
   }
-  bool begun() const { return begun_; }
+  bool started() const { return started_; }
   /// True while new connections may still come.
-  bool listens(Millis now) const { return !past(now, kListenFor); }
+  bool accepts_connections(Millis now) const { return !past(now, kConnectionTime); }
   /// True while new requests may still come.
-  bool requests_come(Millis now) const { return !past(now, kRequestsFor); }
+  bool accepts_requests(Millis now) const { return !past(now, kRequestTime); }
   /// True once SIGKILL is near: what is open gets its final answer now, or never.
-  bool answers_due(Millis now) const { return past(now, answers_for_); }
+  bool final_answers_due(Millis now) const { return past(now, answer_time_); }
   /// When to stop waiting for clients to close their connections, if all is answered by `now`.
   Millis linger_until(Millis now) const {
-    return std::min(now, began_at_ + answers_for_ + kToWrite) + kToLinger;
+    return std::min(now, started_at_ + answer_time_ + kWriteTime) + kLingerTime;
   }
   /// True once there is no time left for anything but the exit.
-  bool over(Millis now) const { return past(now, answers_for_ + kToWrite); }
+  bool must_exit(Millis now) const { return past(now, answer_time_ + kWriteTime); }
 
  private:
   // SIGKILL comes no sooner than 0.7 s past the longest deadline, which counts as 3 s where it is longer.
-  static constexpr Millis kLongestCounted{3000};
-  static constexpr Millis kBeforeKill{500};
-  static constexpr Millis kToWrite{50};
+  static constexpr Millis kMaxCountedDeadline{3000};
+  static constexpr Millis kAnswerTimePastDeadline{500};
+  static constexpr Millis kWriteTime{50};
   // For clients to close their connections. The rest, 80 ms, is for the exit.
-  static constexpr Millis kToLinger{70};
+  static constexpr Millis kLingerTime{70};
   // Connections come for at most 0.4 s, requests for 0.2 s more.
-  static constexpr Millis kListenFor{500};
-  static constexpr Millis kRequestsFor{800};
+  static constexpr Millis kConnectionTime{500};
+  static constexpr Millis kRequestTime{800};
 
-  bool begun_ = false;
-  Millis began_at_{0};
-  Millis answers_for_;
+  bool started_ = false;
+  Millis started_at_{0};
+  Millis answer_time_;
 
-  bool past(Millis now, Millis span) const { return begun_ && now - began_at_ > span; }
+  bool past(Millis now, Millis span) const { return started_ && now - started_at_ > span; }
 };
 
 }  // namespace pathstack::core
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -6,15 +6,15 @@
 
 #include "app/invoker.h"
 
-int main(int count, char** words) {
-  if (count > 2) {
+int main(int argument_count, char** arguments) {
+  if (argument_count > 2) {
     std::cerr << "usage: pathstack-invoker [FILE]   the configuration; without it the one that "
                  "BALANCER_CONFIG names\n";
     return 2;
   }
-  const char* const named = count == 2 ? words[1] : std::getenv("BALANCER_CONFIG");
+  const char* const config_file = argument_count == 2 ? arguments[1] : std::getenv("BALANCER_CONFIG");
   try {
-    pathstack::app::Invoker invoker(named == nullptr ? std::string() : named);
+    pathstack::app::Invoker invoker(config_file == nullptr ? std::string() : config_file);
     invoker.run();
     return 0;
   } catch (const std::exception& fault) {
--- a/tests/invoker/call_references_test.cpp
+++ b/tests/invoker/call_references_test.cpp
@@ -22,11 +22,11 @@
   REQUIRE(references.try_add("a"));
   REQUIRE(references.try_add("b"));
   REQUIRE(references.try_add("c"));
-  references.end("a", Millis(1000));
+  references.note_ended("a", Millis(1000));
   CHECK_FALSE(references.try_add("a"));
-  references.end("b", Millis(11000));
+  references.note_ended("b", Millis(11000));
   CHECK_FALSE(references.try_add("a"));
-  references.end("c", Millis(11001));
+  references.note_ended("c", Millis(11001));
   CHECK(references.try_add("a"));
   CHECK_FALSE(references.try_add("b"));
   CHECK_FALSE(references.try_add("c"));
@@ -38,7 +38,7 @@
   constexpr std::size_t calls = CallReferences::kMaxEnded + 3;
   for (std::size_t i = 0; i < calls; ++i) {
     REQUIRE(references.try_add(std::to_string(i)));
-    references.end(std::to_string(i), Millis(1000));
+    references.note_ended(std::to_string(i), Millis(1000));
   }
   CHECK(references.size() == CallReferences::kMaxEnded + 1);
   CHECK_FALSE(references.try_add("open"));
--- a/tests/invoker/clock_test.cpp
+++ b/tests/invoker/clock_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr double kHourMs = 3600e3;
 
-std::string list_of(int port) {
+std::string endpoint_list(int port) {
   return R"({"cluster_name":"bins","endpoints":[{"lb_endpoints":[{"endpoint":{"address":{"socket_address":)"
          R"({"address":"127.0.0.1","port_value":)" +
          std::to_string(port) + "}}}}]}]}";
@@ -27,9 +27,9 @@
 
 // Gives a file the times that a writer would leave whose wall clock is off by so many seconds.
 void set_times(const std::string& path, const timespec& at, long offset_s) {
-  timespec moved = at;
-  moved.tv_sec += offset_s;
-  const timespec times[] = {moved, moved};
+  timespec shifted = at;
+  shifted.tv_sec += offset_s;
+  const timespec times[] = {shifted, shifted};
   REQUIRE(utimensat(AT_FDCWD, path.c_str(), times, 0) == 0);
 }
 
@@ -39,7 +39,7 @@
     net::Loop loop;
     core::Counters counters;
     const TemporaryPath path;
-    path.write(list_of(1));
+    path.write(endpoint_list(1));
     struct stat first {};
     REQUIRE(stat(path.file().c_str(), &first) == 0);
     set_times(path.file(), first.st_mtim, offset_s);
@@ -47,7 +47,7 @@
     xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
                        [&](const core::MemberList& list) { updates.push_back(list); });
     REQUIRE(file.start());
-    path.write(list_of(2));
+    path.write(endpoint_list(2));
     set_times(path.file(), first.st_mtim, offset_s);
     for (int i = 0; i < 200 && updates.size() < 2; ++i) loop.turn(loop.now() + Millis(20), [] {});
     REQUIRE(updates.size() == 2);
@@ -55,21 +55,21 @@
   }
 }
 
-// The number of readings in 60 s of looks every half second, of a file whose stamp stays as it is.
-int readings_of(xds::FileWatch& watch, Millis start, bool succeeds) {
-  int readings = 0;
+// The number of reads in 60 s of looks every half second, of a file whose stamp stays as it is.
+int count_reads(xds::FileWatch& watch, Millis start, bool succeeds) {
+  int reads = 0;
   for (Millis now = start; now < start + Millis(60000); now += Millis(500)) {
     if (!watch.needs_reading("1 100 5 0", now)) continue;
-    ++readings;
+    ++reads;
     watch.read_done(succeeds, now);
   }
-  return readings;
+  return reads;
 }
 
 TEST_CASE("a file that stays as it is is read for a settling time, and then no more") {
   for (const double start : {0.0, -kHourMs, kHourMs}) {
     xds::FileWatch watch;
-    CHECK(readings_of(watch, Millis(start), true) == 5);  // at 0, 0.5, 1, 1.5 and 2 s
+    CHECK(count_reads(watch, Millis(start), true) == 5);  // at 0, 0.5, 1, 1.5 and 2 s
   }
 }
 
@@ -88,7 +88,7 @@
 TEST_CASE("a reading that failed is repeated with backoff, for as long as it fails") {
   xds::FileWatch watch;
   // 5 in the settling time, then after pauses of 0.5, 1, 2, 4 and then 8 s.
-  CHECK(readings_of(watch, Millis(0), false) == 15);
+  CHECK(count_reads(watch, Millis(0), false) == 15);
   CHECK(watch.needs_reading("1 100 5 0", Millis(kHourMs)));
   watch.read_done(true, Millis(kHourMs));
   CHECK_FALSE(watch.needs_reading("1 100 5 0", Millis(2 * kHourMs)));
@@ -99,7 +99,7 @@
   net::Loop loop;
   core::Counters counters;
   const TemporaryPath path;
-  path.write(list_of(1));
+  path.write(endpoint_list(1));
   std::vector<core::MemberList> updates;
   std::vector<std::string> faults;
   xds::HostFile file(
@@ -118,7 +118,7 @@
   CHECK(updates.size() == 1);
   path.remove();
   CHECK_FALSE(file.move(path.file(), "bins"));
-  path.write(list_of(2));
+  path.write(endpoint_list(2));
   REQUIRE(turn_until([&] { return updates.size() == 2; }));
   CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
 }
@@ -127,12 +127,12 @@
   net::Loop loop;
   core::Counters counters;
   const TemporaryPath path;
-  path.write(list_of(1));
+  path.write(endpoint_list(1));
   std::vector<core::MemberList> updates;
   xds::HostFile file(loop, counters, path.file(), "bins", Millis(5),
                      [&](const core::MemberList& list) { updates.push_back(list); });
   REQUIRE(file.start());
-  const std::string next = list_of(2);
+  const std::string next = endpoint_list(2);
   for (std::size_t bytes = 0; bytes < next.size(); ++bytes) {
     path.write(next.substr(0, bytes));
     const auto moved = file.move(path.file(), "bins");
--- a/tests/invoker/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -345,10 +345,10 @@
       });
   reloader.request();
   for (int i = 0; i < 40 && given_up == 0; ++i) loop.turn(loop.now() + Millis(1000), [] {});
-  CHECK(attempts == app::Reloader::kAttempts);
+  CHECK(attempts == app::Reloader::kMaxAttempts);
   CHECK(reports == 2);
   reloader.request();
-  CHECK(attempts == app::Reloader::kAttempts + 1);
+  CHECK(attempts == app::Reloader::kMaxAttempts + 1);
   CHECK(reports == 3);
 }
 
--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -72,7 +72,7 @@
     CHECK(dispatcher.take(id, std::move(c), peers));
     return id;
   }
-  void pass(Millis span) {
+  void advance(Millis span) {
     const Millis until = now + span;
     while (dispatcher.next_due() <= until) {
       now = std::max(now, dispatcher.next_due());
@@ -86,69 +86,73 @@
   const Millis deadline{GENERATE(300.0, 1500.0, 3000.0, 7000.0)}, sigterm{5000};
   const Millis sigkill = sigterm + std::min(deadline, Millis(3000)) + Millis(700);
   core::Shutdown shutdown(deadline);
-  CHECK((shutdown.listens(sigterm) && !shutdown.answers_due(Millis(1e9)) && !shutdown.over(Millis(1e9))));
-  shutdown.begin(sigterm);
-  shutdown.begin(sigterm + Millis(400));  // a second SIGTERM gives no more time
-  CHECK((shutdown.listens(sigterm + Millis(450)) && shutdown.requests_come(sigterm + Millis(700))));
-  CHECK_FALSE(shutdown.answers_due(sigterm + Millis(700)));
-  CHECK((shutdown.answers_due(sigkill - Millis(150)) && shutdown.over(sigkill - Millis(50))));
+  CHECK((shutdown.accepts_connections(sigterm) && !shutdown.final_answers_due(Millis(1e9)) &&
+         !shutdown.must_exit(Millis(1e9))));
+  shutdown.start(sigterm);
+  shutdown.start(sigterm + Millis(400));  // a second SIGTERM gives no more time
+  CHECK((shutdown.accepts_connections(sigterm + Millis(450)) &&
+         shutdown.accepts_requests(sigterm + Millis(700))));
+  CHECK_FALSE(shutdown.final_answers_due(sigterm + Millis(700)));
+  CHECK((shutdown.final_answers_due(sigkill - Millis(150)) && shutdown.must_exit(sigkill - Millis(50))));
 }
 
 TEST_CASE(
     "whatever hosts do, a call has one answer in time, one attempt out and no second run of a bin-record") {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     Random random(seed);
-    DispatcherFixture b(3);
+    DispatcherFixture fixture(3);
     std::map<core::CallId, Millis> deadline;
-    std::map<core::CallId, bool> once, left;
+    std::map<core::CallId, bool> once, abandoned;
     std::map<core::CallId, int> may_have_run;
     std::size_t loads_answered = 0;
     for (int step = 0; step < 400; ++step) {
       if (below(random, 4) == 0) {
         const bool record = below(random, 2) == 0;
         const Millis allow(50.0 + static_cast<double>(below(random, 900)));
-        const auto id = b.call(record ? "bin-record" : "bin-check", "r" + std::to_string(step), allow);
-        deadline[id] = b.now + allow;
+        const auto id = fixture.call(record ? "bin-record" : "bin-check", "r" + std::to_string(step), allow);
+        deadline[id] = fixture.now + allow;
         once[id] = record;
       }
       for (const auto& order : std::vector<std::pair<std::string, std::uint64_t>>(
-               b.peers.orders.begin() + static_cast<std::ptrdiff_t>(loads_answered), b.peers.orders.end())) {
+               fixture.peers.orders.begin() + static_cast<std::ptrdiff_t>(loads_answered),
+               fixture.peers.orders.end())) {
         ++loads_answered;
-        const bool good = below(random, 4) != 0;
-        b.dispatcher.load_ended({order.first, order.second, good ? core::Outcome::ok : core::Outcome::full,
-                                 Millis(200), good ? 1 : 0});
+        const bool loaded = below(random, 4) != 0;
+        fixture.dispatcher.load_ended({order.first, order.second,
+                                       loaded ? core::Outcome::ok : core::Outcome::full, Millis(200),
+                                       loaded ? 1 : 0});
       }
-      const auto attempts_now = b.peers.attempts;
+      const auto attempts_now = fixture.peers.attempts;
       for (const auto& [attempt, o] : attempts_now) {
-        if (!b.peers.attempts[attempt].open || below(random, 3) != 0) continue;
+        if (!fixture.peers.attempts[attempt].open || below(random, 3) != 0) continue;
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
         if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
-        b.peers.attempts[attempt].open = false;
+        fixture.peers.attempts[attempt].open = false;
         if (!pathstack::policy::proves_never_ran(outcome)) ++may_have_run[attempt.call];
-        b.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
+        fixture.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
       }
       if (below(random, 10) == 0 && !deadline.empty()) {
         const auto id =
             std::next(deadline.begin(), static_cast<std::ptrdiff_t>(below(random, deadline.size())))->first;
-        if (b.peers.answers.count(id) == 0) {
-          left[id] = true;
-          b.dispatcher.abandon(id);
+        if (fixture.peers.answers.count(id) == 0) {
+          abandoned[id] = true;
+          fixture.dispatcher.abandon(id);
         }
       }
-      b.pass(Millis(static_cast<double>(below(random, 40))));
+      fixture.advance(Millis(static_cast<double>(below(random, 40))));
       for (const auto& [id, at] : deadline) {
-        if (b.now > at + Millis(16) && !left[id]) CHECK(b.peers.answers[id].size() == 1);
+        if (fixture.now > at + Millis(16) && !abandoned[id]) CHECK(fixture.peers.answers[id].size() == 1);
       }
     }
-    b.pass(Millis(3000));
-    CHECK(b.dispatcher.open_calls() == 0);
+    fixture.advance(Millis(3000));
+    CHECK(fixture.dispatcher.open_calls() == 0);
     for (const auto& [id, at] : deadline) {
-      const auto& answers = b.peers.answers[id];
-      CHECK(answers.size() == (left[id] ? 0U : 1U));
+      const auto& answers = fixture.peers.answers[id];
+      CHECK(answers.size() == (abandoned[id] ? 0U : 1U));
       if (once[id]) CHECK(may_have_run[id] <= 1);
       if (!answers.empty() && answers[0].status == core::CallStatus::refused) CHECK(may_have_run[id] == 0);
     }
-    for (const auto& [attempt, o] : b.peers.attempts) CHECK_FALSE(o.open);
+    for (const auto& [attempt, o] : fixture.peers.attempts) CHECK_FALSE(o.open);
   }
 }
 
@@ -156,21 +160,21 @@
   core::Settings s = settings();
   s.tenants.push_back({"redgum-estate", 1, 100});
   s.kind_memory_mb["std-2c"] = 3456;
-  DispatcherFixture b(1, s);
+  DispatcherFixture fixture(1, s);
   const auto takes = [&](const auto& change) {
     core::Call c;
-    c.ref = "r" + std::to_string(b.peers.answers.size() + b.refs++);
+    c.ref = "r" + std::to_string(fixture.peers.answers.size() + fixture.refs++);
     c.class_name = "bin-check";
     c.tenant = "redgum-estate";
     c.memory_mb = 300;
     c.client_timeout = Millis(1000);
     change(c);
-    return b.dispatcher.take(b.dispatcher.next_id(), std::move(c), b.peers);
+    return fixture.dispatcher.take(fixture.dispatcher.next_id(), std::move(c), fixture.peers);
   };
   CHECK(takes([](core::Call&) {}));
   CHECK(takes([](core::Call& c) { c.ref = "same"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.ref = "same"; }));
-  b.pass(Millis(1100));  // that call has ended, but a host may still answer it
+  fixture.advance(Millis(1100));  // that call has ended, but a host may still answer it
   CHECK_FALSE(takes([](core::Call& c) { c.ref = "same"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.class_name = "bin-chuck"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.tenant = "nobody"; }));
@@ -183,39 +187,39 @@
   CHECK_FALSE(takes([](core::Call& c) { c.client_timeout = Millis(1551); }));
   CHECK_FALSE(takes([](core::Call& c) { c.client_timeout = Millis(3600000); }));
   CHECK(takes([](core::Call& c) { c.tenant.clear(); }));
-  CHECK(b.counters.value(core::Counter::calls_taken) == 3);
-  CHECK(b.counters.value(core::Counter::calls_ref_repeated) == 2);
-  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 8);
+  CHECK(fixture.counters.value(core::Counter::calls_taken) == 3);
+  CHECK(fixture.counters.value(core::Counter::calls_ref_repeated) == 2);
+  CHECK(fixture.counters.value(core::Counter::calls_bad_figures) == 8);
 }
 
 // Failure found on a calm day on real sockets: first calls with allow=2003 under a deadline of 2,000 ms were
 // answered FAILED. Time limits grow by 50 ms on sockets.
 TEST_CASE("a call is taken whose client waits up to 50 ms longer than its class's deadline") {
-  DispatcherFixture b(1, settings());
-  b.call("bin-check", "early", Millis(1503));
-  b.call("bin-check", "earliest", Millis(1550));
-  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
-  CHECK(b.counters.value(core::Counter::calls_taken) == 2);
-  CHECK(b.peers.attempts.size() == 2);
+  DispatcherFixture fixture(1, settings());
+  fixture.call("bin-check", "early", Millis(1503));
+  fixture.call("bin-check", "earliest", Millis(1550));
+  CHECK(fixture.counters.value(core::Counter::calls_bad_figures) == 0);
+  CHECK(fixture.counters.value(core::Counter::calls_taken) == 2);
+  CHECK(fixture.peers.attempts.size() == 2);
 }
 
 // Failure found in review: settings that name kinds of hosts and not their memory had every call failed.
 TEST_CASE("calls are taken where the memory of a kind of host is not stated") {
   core::Settings s = settings();
   s.kind_memory_mb["std"] = 0;
-  DispatcherFixture b(1, s);
-  const auto id = b.call("bin-check", "a");
-  CHECK(b.counters.value(core::Counter::calls_bad_figures) == 0);
-  CHECK(b.peers.attempts.size() == 1);
-  CHECK(b.peers.attempts.begin()->first.call == id);
+  DispatcherFixture fixture(1, s);
+  const auto id = fixture.call("bin-check", "a");
+  CHECK(fixture.counters.value(core::Counter::calls_bad_figures) == 0);
+  CHECK(fixture.peers.attempts.size() == 1);
+  CHECK(fixture.peers.attempts.begin()->first.call == id);
 }
 
 TEST_CASE("a call for which there is no host is answered by its deadline") {
-  DispatcherFixture b(0);
-  const auto id = b.call("bin-record", "r");
-  b.pass(Millis(1016));
-  REQUIRE(b.peers.answers[id].size() == 1);
-  CHECK(b.peers.answers[id][0].status == core::CallStatus::refused);
+  DispatcherFixture fixture(0);
+  const auto id = fixture.call("bin-record", "r");
+  fixture.advance(Millis(1016));
+  REQUIRE(fixture.peers.answers[id].size() == 1);
+  CHECK(fixture.peers.answers[id][0].status == core::CallStatus::refused);
 }
 
 }  // namespace
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -246,11 +246,11 @@
     FailingCalls calls;
     const net::ScopedSystemCalls scope(calls);
     calls.lasting_poll_error = error;
-    bool rung = false;
+    bool fired = false;
     const Millis due = loop.now() + Millis(100);
-    loop.at(due, [&] { rung = true; });
-    while (!rung && calls.polls < 1000) loop.turn(due + Millis(60000), [] {});
-    CHECK(rung);
+    loop.at(due, [&] { fired = true; });
+    while (!fired && calls.polls < 1000) loop.turn(due + Millis(60000), [] {});
+    CHECK(fired);
     CHECK(calls.polls <= 20);  // a pause of 10 ms each
     CHECK(calls.sleeps == calls.polls);
   }
@@ -330,12 +330,12 @@
   const net::ScopedSystemCalls scope(calls);
   calls.socket_errors = {ENFILE};
   calls.connect_errors = {EADDRNOTAVAIL, ENETUNREACH};
-  const Millis began = loop.now();
+  const Millis started = loop.now();
   client.start();
   for (int i = 0; i < kMaxTurns && events < log.events; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(events == log.events);
   CHECK(calls.connects >= 3);
-  CHECK((loop.now() - began).count() >= 25 + 50 + 100);  // the least pauses with jitter: none is left out
+  CHECK((loop.now() - started).count() >= 25 + 50 + 100);  // the least pauses with jitter: none is left out
 }
 
 }  // namespace
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -23,7 +23,7 @@
 namespace pathstack::test {
 namespace {
 
-constexpr Millis kWaitMost{20000};
+constexpr Millis kMaxWait{20000};
 
 // A file that goes with its owner.
 class TemporaryFile {
@@ -54,8 +54,8 @@
     for (const int out : {1, 2}) posix_spawn_file_actions_adddup2(&actions, ends[1], out);
     for (const int end : ends) posix_spawn_file_actions_addclose(&actions, end);
     std::string binary = PATHSTACK_INVOKER, file = config;
-    char* words[] = {binary.data(), file.data(), nullptr};
-    REQUIRE(posix_spawn(&pid_, binary.c_str(), &actions, nullptr, words, environ) == 0);
+    char* arguments[] = {binary.data(), file.data(), nullptr};
+    REQUIRE(posix_spawn(&pid_, binary.c_str(), &actions, nullptr, arguments, environ) == 0);
     posix_spawn_file_actions_destroy(&actions);
     close(ends[1]);
     output_ = net::Socket(ends[0]);
@@ -65,7 +65,7 @@
     if (pid_ > 0) kill(pid_, SIGKILL);
     if (pid_ > 0) waitpid(pid_, nullptr, 0);
   }
-  void tell(int signal) const { REQUIRE(kill(pid_, signal) == 0); }
+  void send_signal(int signal) const { REQUIRE(kill(pid_, signal) == 0); }
   // Leaves its output no more room than the system allows; it is read by `log` alone.
   void shrink_output() const { REQUIRE(fcntl(output_.fd(), F_SETPIPE_SZ, 1) > 0); }
   int unread_output() const {
@@ -73,14 +73,14 @@
     REQUIRE(ioctl(output_.fd(), FIONREAD, &bytes) == 0);
     return bytes;
   }
-  const std::string& log() {
+  const std::string& output() {
     char bytes[4096];
     for (ssize_t got; (got = read(output_.fd(), bytes, sizeof bytes)) > 0;)
-      log_.append(bytes, static_cast<std::size_t>(got));
-    return log_;
+      text_.append(bytes, static_cast<std::size_t>(got));
+    return text_;
   }
   // Its exit status, once it has ended by itself.
-  std::optional<int> ended() {
+  std::optional<int> exit_status() {
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
       pid_ = -1;
@@ -92,11 +92,11 @@
  private:
   pid_t pid_ = -1;
   net::Socket output_;
-  std::string log_;
+  std::string text_;
   std::optional<int> status_;
 };
 
-struct Site {
+struct ProcessFixture {
   net::Loop loop;
   net::BufferPool pool{256};
   StandInHost host{loop, pool};
@@ -106,7 +106,7 @@
   std::optional<Process> program;
 
   // The log is in reach, as a list that cannot be confirmed would keep the program from using the host.
-  explicit Site(double deadline) {
+  explicit ProcessFixture(double deadline) {
     log.events = 1;
     log.stays_open = true;
     log.breaks_off = false;
@@ -133,36 +133,36 @@
   std::string start() {
     file.write(config);
     program.emplace(file.path());
-    REQUIRE(turn_until([&] { return program->log().find("listens on ") != std::string::npos; }));
-    const std::string& output = program->log();
+    REQUIRE(turn_until([&] { return program->output().find("listens on ") != std::string::npos; }));
+    const std::string& output = program->output();
     const auto at = output.find("listens on ") + 11;
     return output.substr(at, output.find('\n', at) - at);
   }
   template <typename Until>
   bool turn_until(const Until& until) {
-    const Millis end = loop.now() + kWaitMost;
+    const Millis end = loop.now() + kMaxWait;
     while (!until() && loop.now() < end) {
       loop.turn(loop.now() + Millis(10), [] {});
-      tell_number();
+      send_sequence_number();
     }
     return until();
   }
 
  private:
-  Millis number_due_{0};
+  Millis next_send_{0};
 
   // As the log does each second.
-  void tell_number() {
-    if (loop.now() < number_due_) return;
-    number_due_ = loop.now() + Millis(1000);
+  void send_sequence_number() {
+    if (loop.now() < next_send_) return;
+    next_send_ = loop.now() + Millis(1000);
     for (const auto& peer : log.server.peers) peer->write(std::to_string(log.events) + "\n");
   }
 };
 
 class Client final : public net::Stream {
  public:
-  Client(Site& site, const std::string& address)
-      : Stream(site.loop, site.pool, net::connect_to(address), true) {}
+  Client(ProcessFixture& fixture, const std::string& address)
+      : Stream(fixture.loop, fixture.pool, net::connect_to(address), true) {}
   void call(const std::string& tag, int allow) {
     std::string out;
     const std::string fields = "ref=" + net::hex16(std::hash<std::string>()(tag)) +
@@ -170,74 +170,74 @@
     resp::write_array(out, {"CALL", tag, "record", fields, "x"});
     write(out);
   }
-  std::vector<resp::Words> got;
+  std::vector<resp::Words> replies;
   bool closed = false;
 
  private:
   resp::Parser parser_;
   void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, got)); }
+  void received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, replies)); }
   void ended() override { closed = true; }
 };
 
 // Failure found in review: known events that cannot be read were passed over, and never asked for.
 TEST_CASE("known events that cannot be read are asked of the change log") {
-  Site site(1000);
-  StandInLog log(site.loop, site.pool);
-  site.config["changelog"] = log.server.address();
-  site.config["known"]["seq"] = 2;
-  site.config["known"]["results"].push_back({{"seq", 2}, {"fleet", {{"members", {{{"phase", "gone"}}}}}}});
-  site.start();
-  REQUIRE(site.turn_until([&] { return !log.asked.empty(); }));
+  ProcessFixture fixture(1000);
+  StandInLog log(fixture.loop, fixture.pool);
+  fixture.config["changelog"] = log.server.address();
+  fixture.config["known"]["seq"] = 2;
+  fixture.config["known"]["results"].push_back({{"seq", 2}, {"fleet", {{"members", {{{"phase", "gone"}}}}}}});
+  fixture.start();
+  REQUIRE(fixture.turn_until([&] { return !log.asked.empty(); }));
   CHECK(log.asked.front() == 1);
 }
 
 TEST_CASE("a configuration that names many hosts is read, and a host among them is used") {
-  Site site(1000);
-  auto& members = site.config["known"]["results"][0]["fleet"]["members"];
+  ProcessFixture fixture(1000);
+  auto& members = fixture.config["known"]["results"][0]["fleet"]["members"];
   for (int i = 1; i <= 5000; ++i) {
     members.push_back(
         {{"id", "gone" + std::to_string(i)}, {"host_port", "127.0.0.1:9"}, {"phase", "draining"}});
   }
-  Client client(site, site.start());
+  Client client(fixture, fixture.start());
   client.call("1", 900);
-  REQUIRE(site.turn_until([&] { return !client.got.empty(); }));
-  CHECK(client.got[0].at(1) == "OK");
-  CHECK(site.program->log().find("known:") == std::string::npos);
+  REQUIRE(fixture.turn_until([&] { return !client.replies.empty(); }));
+  CHECK(client.replies[0].at(1) == "OK");
+  CHECK(fixture.program->output().find("known:") == std::string::npos);
 }
 
 // Failure found in review: a log that nobody read stopped the event loop, and with it all calls.
 TEST_CASE("a log that nobody reads stops no call; the lines dropped are counted") {
-  Site site(1000);
-  const std::string address = site.start();
-  Client first(site, address);
+  ProcessFixture fixture(1000);
+  const std::string address = fixture.start();
+  Client first(fixture, address);
   first.call("1", 900);
-  REQUIRE(site.turn_until([&] { return !first.got.empty(); }));
-  site.program->shrink_output();
-  const auto pass = [&](double span) {
-    const Millis until = site.loop.now() + Millis(span);
-    while (site.loop.now() < until) site.loop.turn(until, [] {});
+  REQUIRE(fixture.turn_until([&] { return !first.replies.empty(); }));
+  fixture.program->shrink_output();
+  const auto wait = [&](double span) {
+    const Millis until = fixture.loop.now() + Millis(span);
+    while (fixture.loop.now() < until) fixture.loop.turn(until, [] {});
   };
   // All counters are logged again and again, until what waits to be read grows no more.
-  for (int unread = -1; site.program->unread_output() > unread;) {
-    unread = site.program->unread_output();
-    site.program->tell(SIGUSR1);
-    pass(50);
+  for (int unread = -1; fixture.program->unread_output() > unread;) {
+    unread = fixture.program->unread_output();
+    fixture.program->send_signal(SIGUSR1);
+    wait(50);
   }
-  REQUIRE(site.program->unread_output() > 0);
-  Client client(site, address);
+  REQUIRE(fixture.program->unread_output() > 0);
+  Client client(fixture, address);
   client.call("2", 900);
-  REQUIRE(site.turn_until([&] { return !client.got.empty() || client.closed; }));
-  REQUIRE(client.got.size() == 1);
-  CHECK(client.got[0].at(1) == "OK");
+  REQUIRE(fixture.turn_until([&] { return !client.replies.empty() || client.closed; }));
+  REQUIRE(client.replies.size() == 1);
+  CHECK(client.replies[0].at(1) == "OK");
   // Far more than the pipe and the program keep. Once somebody reads, it goes on and tells what was lost.
   for (int i = 0; i < 1500; ++i) {
-    site.program->tell(SIGUSR1);
-    pass(1);
+    fixture.program->send_signal(SIGUSR1);
+    wait(1);
   }
-  REQUIRE(site.turn_until([&] {
-    site.program->tell(SIGUSR1);
-    return site.program->log().find("log.lines_dropped ") != std::string::npos;
+  REQUIRE(fixture.turn_until([&] {
+    fixture.program->send_signal(SIGUSR1);
+    return fixture.program->output().find("log.lines_dropped ") != std::string::npos;
   }));
 }
 
@@ -245,63 +245,64 @@
 // longest deadline, while SIGKILL may come 3.7 s after SIGTERM.
 TEST_CASE(
     "signalled to end, the program answers what is open before SIGKILL may come, however long its deadline") {
-  Site site(9000);
-  site.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
-  Client client(site, site.start());
+  ProcessFixture fixture(9000);
+  fixture.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
+  Client client(fixture, fixture.start());
   client.call("1", 9000);
-  REQUIRE(site.turn_until([&] { return site.host.execs == 1; }));
-  const Millis signalled = site.loop.now();
-  site.program->tell(SIGTERM);
-  REQUIRE(site.turn_until([&] { return !client.got.empty() || client.closed; }));
-  CHECK((site.loop.now() - signalled).count() < 3700);
-  REQUIRE(client.got.size() == 1);
-  CHECK(client.got[0] == resp::Words{"1", "FAILED"});
-  REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
-  CHECK(site.program->ended() == 0);
-  CHECK(site.host.drops == 1);
+  REQUIRE(fixture.turn_until([&] { return fixture.host.execs == 1; }));
+  const Millis signal_time = fixture.loop.now();
+  fixture.program->send_signal(SIGTERM);
+  REQUIRE(fixture.turn_until([&] { return !client.replies.empty() || client.closed; }));
+  CHECK((fixture.loop.now() - signal_time).count() < 3700);
+  REQUIRE(client.replies.size() == 1);
+  CHECK(client.replies[0] == resp::Words{"1", "FAILED"});
+  REQUIRE(fixture.turn_until([&] { return fixture.program->exit_status().has_value(); }));
+  CHECK(fixture.program->exit_status() == 0);
+  CHECK(fixture.host.drops == 1);
 }
 
 // Starts a program whose address is in use, and waits until it has said so.
-void start_with_address_in_use(Site& site, const net::Socket& holder) {
-  site.config["listen"] = net::bound_address(holder);
-  site.file.write(site.config);
-  site.program.emplace(site.file.path());
+void start_with_address_in_use(ProcessFixture& fixture, const net::Socket& holder) {
+  fixture.config["listen"] = net::bound_address(holder);
+  fixture.file.write(fixture.config);
+  fixture.program.emplace(fixture.file.path());
   const std::string fault = "cannot listen on " + net::bound_address(holder) + ": Address already in use";
-  REQUIRE(site.turn_until([&] { return site.program->log().find(fault) != std::string::npos; }));
+  REQUIRE(fixture.turn_until([&] { return fixture.program->output().find(fault) != std::string::npos; }));
 }
 
 TEST_CASE("an address that is in use for a moment at the start is retried until it is free") {
-  Site site(1000);
+  ProcessFixture fixture(1000);
   net::Socket holder = net::listen_on("127.0.0.1:0").socket;
   const std::string address = net::bound_address(holder);
-  start_with_address_in_use(site, holder);
+  start_with_address_in_use(fixture, holder);
   holder.close();
-  REQUIRE(site.turn_until([&] {
-    return site.program->log().find("listens on " + address) != std::string::npos || site.program->ended();
+  REQUIRE(fixture.turn_until([&] {
+    return fixture.program->output().find("listens on " + address) != std::string::npos ||
+           fixture.program->exit_status();
   }));
-  REQUIRE_FALSE(site.program->ended());
-  Client client(site, address);
+  REQUIRE_FALSE(fixture.program->exit_status());
+  Client client(fixture, address);
   client.call("1", 900);
-  REQUIRE(site.turn_until([&] { return !client.got.empty() || client.closed; }));
-  REQUIRE(client.got.size() == 1);
-  CHECK(client.got[0].at(1) == "OK");
+  REQUIRE(fixture.turn_until([&] { return !client.replies.empty() || client.closed; }));
+  REQUIRE(client.replies.size() == 1);
+  CHECK(client.replies[0].at(1) == "OK");
 }
 
 TEST_CASE("an address that stays in use ends the start with its name; SIGTERM ends the wait for it") {
-  Site site(1000);
+  ProcessFixture fixture(1000);
   const net::Socket holder = net::listen_on("127.0.0.1:0").socket;
-  start_with_address_in_use(site, holder);
+  start_with_address_in_use(fixture, holder);
   SECTION("stays in use") {
-    REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
-    CHECK(site.program->ended() == 1);
+    REQUIRE(fixture.turn_until([&] { return fixture.program->exit_status().has_value(); }));
+    CHECK(fixture.program->exit_status() == 1);
     const std::string named =
         "configuration: listen: cannot listen on " + net::bound_address(holder) + ": Address already in use";
-    CHECK(site.program->log().find(named) != std::string::npos);
+    CHECK(fixture.program->output().find(named) != std::string::npos);
   }
   SECTION("SIGTERM") {
-    site.program->tell(SIGTERM);
-    REQUIRE(site.turn_until([&] { return site.program->ended().has_value(); }));
-    CHECK(site.program->ended() == 0);
+    fixture.program->send_signal(SIGTERM);
+    REQUIRE(fixture.turn_until([&] { return fixture.program->exit_status().has_value(); }));
+    CHECK(fixture.program->exit_status() == 0);
   }
 }
 
@@ -316,11 +317,11 @@
   State state() const { return state_; }
   std::size_t answered() const { return answered_; }
   // The word of the answer under the tag of the first request, which no health check has.
-  const std::string& first_word() const { return first_word_; }
+  const std::string& first_status() const { return first_status_; }
   void turn() {
     if (state_ != State::open) return;
-    while (asked_ - answered_ < kWindow) {
-      resp::write_array(unsent_, {"CHECK", std::to_string(2 + asked_++), padding_});
+    while (sent_ - answered_ < kWindow) {
+      resp::write_array(unsent_, {"CHECK", std::to_string(2 + sent_++), padding_});
     }
     // Until nothing more fits between the two.
     for (ssize_t sent = 1; sent > 0 && !unsent_.empty();) {
@@ -336,8 +337,8 @@
   const std::string padding_ = std::string(16000, 'x');
   net::Socket socket_;
   resp::Parser parser_;
-  std::string unsent_, first_word_;
-  std::size_t asked_ = 0, answered_ = 0;
+  std::string unsent_, first_status_;
+  std::size_t sent_ = 0, answered_ = 0;
   State state_ = State::open;
 
   void read() {
@@ -352,7 +353,7 @@
       REQUIRE(parser_.take({block.data(), static_cast<std::size_t>(got)}, answers));
       for (const auto& answer : answers) {
         if (answer[0] == "1") {
-          first_word_ = answer.at(1);
+          first_status_ = answer.at(1);
         } else {
           ++answered_;
         }
@@ -364,29 +365,29 @@
 // Failure found in review: the exit closed connections with input unread, which resets them.
 TEST_CASE(
     "signalled to end, the program closes no connection by a reset, though its client goes on sending") {
-  Site site(1000);
-  site.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
-  const std::string address = site.start();
+  ProcessFixture fixture(1000);
+  fixture.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
+  const std::string address = fixture.start();
   std::string call;
   resp::write_array(call,
                     {"CALL", "1", "record", "ref=00000000000000c1,allow=900,lookup=00000000000000a1", "x"});
   BusyClient client(address, call);
-  REQUIRE(site.turn_until([&] {
+  REQUIRE(fixture.turn_until([&] {
     client.turn();
-    return site.host.execs == 1 && client.answered() > 0;
+    return fixture.host.execs == 1 && client.answered() > 0;
   }));
-  const Millis signalled = site.loop.now();
-  site.program->tell(SIGTERM);
-  REQUIRE(site.turn_until([&] {
+  const Millis signal_time = fixture.loop.now();
+  fixture.program->send_signal(SIGTERM);
+  REQUIRE(fixture.turn_until([&] {
     client.turn();
-    site.loop.at(site.loop.now(), [] {});  // the loop does not wait, so that input is always on its way
-    return site.program->ended().has_value();
+    fixture.loop.at(fixture.loop.now(), [] {});  // the loop does not wait, so that input is always on its way
+    return fixture.program->exit_status().has_value();
   }));
-  CHECK((site.loop.now() - signalled).count() < 1700);
+  CHECK((fixture.loop.now() - signal_time).count() < 1700);
   client.turn();
   CHECK(client.state() == BusyClient::State::closed_in_order);
-  CHECK(client.first_word() == "FAILED");
-  CHECK(site.program->ended() == 0);
+  CHECK(client.first_status() == "FAILED");
+  CHECK(fixture.program->exit_status() == 0);
 }
 
 }  // namespace
--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -22,14 +22,14 @@
 using Violations = std::vector<std::string>;
 
 constexpr std::size_t kHosts = 4, kClients = 6, kCalls = 300;
-constexpr Millis kShortestAllow{100}, kSpreadOfAllow{700};
-constexpr Millis kAfterLeaving{100};         // an attempt may begin so long after its client has gone
+constexpr Millis kMinClientTimeout{100}, kClientTimeoutSpread{700};
+constexpr Millis kMaxTimeAfterCancel{100};   // an attempt may begin so long after its client has gone
 constexpr Millis kTimeoutSlack{150};         // a host may get a time-out longer than the client's by so much
 constexpr Millis kSocketSlack{50};           // every other limit grows by so much on sockets
-constexpr Millis kLateAnswers{300};          // watched for so long once all is answered
+constexpr Millis kLateAnswerTime{300};       // watched for so long once all is answered
 constexpr std::uint64_t kCrossingPolls = 5;  // what was written before is read by then
-constexpr Millis kCrossing{10};
-constexpr Millis kLongestPlay{20000}, kLongestCheck{3000};  // limits on waits
+constexpr Millis kCrossingTime{10};
+constexpr Millis kMaxRunTime{20000}, kMaxCheckTime{3000};  // limits on waits
 
 core::Settings settings_of_all_semantics() {
   core::Settings s = settings();
@@ -48,33 +48,33 @@
   explicit Session(std::uint64_t seed)
       : random_(seed),
         clock_(loop_),
-        fleet_(loop_, pool_, counters_, fleet_limits()),
+        connection_pool_(loop_, buffers_, counters_, host_limits()),
         dispatcher_(
-            settings_, [this] { return loop_.now(); }, fleet_, counters_),
-        front_(loop_, pool_, dispatcher_, counters_, {}) {
-    fleet_.attach(dispatcher_);
+            settings_, [this] { return loop_.now(); }, connection_pool_, counters_),
+        front_(loop_, buffers_, dispatcher_, counters_, {}) {
+    connection_pool_.attach(dispatcher_);
     REQUIRE(front_.listen("127.0.0.1:0"));
     calls_ = std::make_unique<FaultyCalls>(seed + 1, FaultyCalls::Rates(), front_.address());
     for (std::size_t i = 0; i < kHosts; ++i) {
-      hosts_.push_back(std::make_unique<RandomHost>(loop_, pool_, book_, now_, i, seed + 2 + i));
+      hosts_.push_back(std::make_unique<RandomHost>(loop_, buffers_, book_, now_, i, seed + 2 + i));
     }
     list_hosts();
     hosts_.back()->server.stop();  // refuses connections
   }
 
   /// Plays all calls to their end. False if that was not reached in the time allowed.
-  bool play() {
+  bool run() {
     const net::ScopedSystemCalls faults(*calls_);
-    if (!turn_until([this] { return made_ == kCalls && all_settled(); }, kLongestPlay)) return false;
-    turn_until([] { return false; }, kLateAnswers);
+    if (!turn_until([this] { return calls_made_ == kCalls && all_settled(); }, kMaxRunTime)) return false;
+    turn_until([] { return false; }, kLateAnswerTime);
     return true;
   }
   /// True if a client that connects now is answered.
-  bool serves_newcomer() {
+  bool serves_new_client() {
     const net::ScopedSystemCalls faults(*calls_);
     CallClient& client = connect_client();
     client.check();
-    return turn_until([&] { return client.up() || client.closed(); }, kLongestCheck) && client.up();
+    return turn_until([&] { return client.up() || client.closed(); }, kMaxCheckTime) && client.up();
   }
 
   const CallBook& book() const { return book_; }
@@ -87,20 +87,20 @@
   core::Settings settings_ = settings_of_all_semantics();
   Random random_;
   net::Loop loop_;
-  net::BufferPool pool_{4096};
+  net::BufferPool buffers_{4096};
   TurnClock clock_;
   CallBook book_;
   core::Counters counters_;
   std::unique_ptr<FaultyCalls> calls_;
   std::function<Moment()> now_ = [this] { return Moment{clock_.now(), calls_->polls()}; };
   std::vector<std::unique_ptr<RandomHost>> hosts_;
-  hosts::ConnectionPool fleet_;
+  hosts::ConnectionPool connection_pool_;
   core::Dispatcher dispatcher_;
   resp::Front front_;
   Clients clients_;
-  std::size_t made_ = 0;
+  std::size_t calls_made_ = 0;
 
-  static hosts::Limits fleet_limits() {
+  static hosts::Limits host_limits() {
     hosts::Limits limits;
     limits.report_fields = {"inflight", "util"};
     return limits;
@@ -115,13 +115,13 @@
       list.members.push_back(member);
       entries.entries.push_back(member.entry);
     }
-    fleet_.members(list);
+    connection_pool_.members(list);
     dispatcher_.update_hosts(std::move(entries));
   }
-  bool chance(std::size_t in_hundred) { return below(random_, 100) < in_hundred; }
+  bool chance(std::size_t percent) { return below(random_, 100) < percent; }
   CallClient& connect_client() {
-    clients_.push_back(calls_->spare(
-        [this] { return std::make_shared<CallClient>(loop_, pool_, book_, now_, front_.address()); }));
+    clients_.push_back(calls_->without_faults(
+        [this] { return std::make_shared<CallClient>(loop_, buffers_, book_, now_, front_.address()); }));
     return *clients_.back();
   }
   // Clients act between reads and writes, so that what they say leaves in the same turn.
@@ -132,12 +132,12 @@
       clock_.next_turn();
       loop_.turn(std::min(dispatcher_.next_due(), loop_.now() + Millis(5)), [this] {
         dispatcher_.tick();
-        if (made_ < kCalls) act();
+        if (calls_made_ < kCalls) run_clients();
       });
     }
     return until();
   }
-  void act() {
+  void run_clients() {
     clients_.remove_if([](const auto& client) { return client->closed(); });
     if (clients_.size() < kClients) connect_client();
     auto client = std::next(clients_.begin(), static_cast<std::ptrdiff_t>(below(random_, clients_.size())));
@@ -147,13 +147,13 @@
     if (chance(2)) (*client)->leave();
   }
   void make_calls(CallClient& client) {
-    for (std::size_t i = 1 + below(random_, 3); i > 0 && made_ < kCalls; --i) {
+    for (std::size_t i = 1 + below(random_, 3); i > 0 && calls_made_ < kCalls; --i) {
       const auto& cls = settings_.classes[below(random_, settings_.classes.size())];
       CallRecord record;
-      record.ref = net::hex16(++made_);
+      record.ref = net::hex16(++calls_made_);
       record.semantics = cls.semantics;
-      record.allow =
-          kShortestAllow + Millis(static_cast<double>(below(random_, std::size_t(kSpreadOfAllow.count()))));
+      record.allow = kMinClientTimeout +
+                     Millis(static_cast<double>(below(random_, std::size_t(kClientTimeoutSpread.count()))));
       const std::size_t size = chance(5) ? 16384 : below(random_, 2000);
       client.call(std::move(record), cls.name, std::string(size, 'c'));
     }
@@ -168,17 +168,17 @@
   }
 };
 
-std::string described(const CallRecord& call, const std::string& what) { return call.ref + ": " + what; }
+std::string describe(const CallRecord& call, const std::string& what) { return call.ref + ": " + what; }
 
-std::string in_ms(Millis span) { return std::to_string(span.count()) + " ms"; }
+std::string to_ms_text(Millis span) { return std::to_string(span.count()) + " ms"; }
 
 Violations calls_without_exactly_one_answer(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
-    if (call.answers.size() > 1) found.push_back(described(call, "answered more than once"));
+    if (call.answers.size() > 1) found.push_back(describe(call, "answered more than once"));
     if (call.withdrawn || call.answers.size() == 1) continue;
-    if (call.cut_off) found.push_back(described(call, "its connection was closed with no answer"));
-    if (!call.cut_off && call.answers.empty()) found.push_back(described(call, "never answered"));
+    if (call.cut_off) found.push_back(describe(call, "its connection was closed with no answer"));
+    if (!call.cut_off && call.answers.empty()) found.push_back(describe(call, "never answered"));
   }
   return found;
 }
@@ -189,7 +189,7 @@
   for (const auto& [ref, call] : book.calls) {
     if (call.withdrawn || call.answers.empty()) continue;
     const Millis late = call.answers[0].came.at - call.sent.at - call.allow;
-    if (late > slack) found.push_back(described(call, "answered " + in_ms(late) + " after its deadline"));
+    if (late > slack) found.push_back(describe(call, "answered " + to_ms_text(late) + " after its deadline"));
   }
   return found;
 }
@@ -200,47 +200,48 @@
   for (const auto& [ref, call] : book.calls) {
     if (!call.withdrawn || call.answers.empty()) continue;
     const Millis after = call.answers[0].came.at - call.withdrawn->at;
-    if (after > kAfterLeaving) found.push_back(described(call, "answered " + in_ms(after) + " after CANCEL"));
+    if (after > kMaxTimeAfterCancel)
+      found.push_back(describe(call, "answered " + to_ms_text(after) + " after CANCEL"));
   }
   return found;
 }
 
-Violations served_bodies_that_no_host_gave(const CallBook& book) {
+Violations served_bodies_from_no_host(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& answer : call.answers) {
       if (answer.words.size() < 2) {
-        found.push_back(described(call, "an answer of one word"));
+        found.push_back(describe(call, "an answer of one word"));
       } else if (answer.words[1] == "OK" &&
                  (answer.words.size() != 4 || call.bodies_given.count(answer.words[3]) == 0)) {
-        found.push_back(described(call, "served with a body that no host gave"));
+        found.push_back(describe(call, "served with a body that no host gave"));
       }
     }
   }
   return found;
 }
 
-Violations repeats_of_what_may_have_run(const CallBook& book) {
+Violations retries_after_possible_run(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.semantics != Semantics::once) continue;
     for (std::size_t i = 0; i + 1 < call.attempts.size(); ++i) {
       if (!call.attempts[i].never_ran()) {
-        found.push_back(described(call, "sent again, but attempt " + std::to_string(i) + " may have run"));
+        found.push_back(describe(call, "sent again, but attempt " + std::to_string(i) + " may have run"));
       }
     }
   }
   return found;
 }
 
-Violations refusals_of_what_may_have_run(const CallBook& book) {
+Violations refusals_after_possible_run(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.semantics != Semantics::once || call.answers.empty()) continue;
     const auto& words = call.answers[0].words;
     if (words.size() < 2 || words[1] != "BUSY") continue;
     for (const auto& attempt : call.attempts) {
-      if (!attempt.never_ran()) found.push_back(described(call, "refused, but an attempt may have run"));
+      if (!attempt.never_ran()) found.push_back(describe(call, "refused, but an attempt may have run"));
     }
   }
   return found;
@@ -254,33 +255,33 @@
       const auto& over = call.attempts[i].over;
       const Moment& next = call.attempts[i + 1].came;
       const bool ended_in_time =
-          over && (over->poll <= next.poll + kCrossingPolls || over->at <= next.at + kCrossing);
+          over && (over->poll <= next.poll + kCrossingPolls || over->at <= next.at + kCrossingTime);
       if (!ended_in_time) {
-        found.push_back(described(call, "sent again while attempt " + std::to_string(i) + " was out"));
+        found.push_back(describe(call, "sent again while attempt " + std::to_string(i) + " was out"));
       }
     }
   }
   return found;
 }
 
-Violations attempts_beyond_the_bound(const CallBook& book, int max_attempts) {
+Violations calls_with_too_many_attempts(const CallBook& book, int max_attempts) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.attempts.size() > static_cast<std::size_t>(max_attempts)) {
-      found.push_back(described(call, std::to_string(call.attempts.size()) + " attempts"));
+      found.push_back(describe(call, std::to_string(call.attempts.size()) + " attempts"));
     }
   }
   return found;
 }
 
-Violations attempts_after_the_client_left(const CallBook& book) {
+Violations attempts_after_cancellation(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
       if (!call.withdrawn) continue;
       const Millis after = attempt.came.at - call.withdrawn->at;
-      if (after > kAfterLeaving + TurnClock::kLongestTurn) {
-        found.push_back(described(call, "sent to a host " + in_ms(after) + " after its client left"));
+      if (after > kMaxTimeAfterCancel + TurnClock::kLongestTurn) {
+        found.push_back(describe(call, "sent to a host " + to_ms_text(after) + " after its client left"));
       }
     }
   }
@@ -288,27 +289,27 @@
 }
 
 // What nobody waits for is given up: dropped, or its connection closed.
-Violations attempts_kept_after_the_client_left(const CallBook& book) {
+Violations attempts_kept_after_cancellation(const CallBook& book) {
   Violations found;
-  const Millis most = kAfterLeaving + kSocketSlack + TurnClock::kLongestTurn;
+  const Millis most = kMaxTimeAfterCancel + kSocketSlack + TurnClock::kLongestTurn;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
       if (!call.withdrawn || attempt.came.at > call.withdrawn->at) continue;
       const bool is_over = attempt.over && attempt.over->at <= call.withdrawn->at + most;
-      if (!is_over) found.push_back(described(call, "an attempt was kept after its client left"));
+      if (!is_over) found.push_back(describe(call, "an attempt was kept after its client left"));
     }
   }
   return found;
 }
 
-Violations timeouts_beyond_the_clients(const CallBook& book) {
+Violations timeouts_longer_than_the_clients(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
       const Millis left = call.sent.at + call.allow - attempt.came.at;
       if (attempt.timeout > left + kTimeoutSlack) {
-        found.push_back(described(call, "a host got a time-out of " + in_ms(attempt.timeout) + " with " +
-                                            in_ms(left) + " left to the client"));
+        found.push_back(describe(call, "a host got a time-out of " + to_ms_text(attempt.timeout) + " with " +
+                                           to_ms_text(left) + " left to the client"));
       }
     }
   }
@@ -331,7 +332,7 @@
   const auto seed = GENERATE(std::uint64_t{11}, std::uint64_t{1107}, std::uint64_t{90210});
   CAPTURE(seed);
   Session session(seed);
-  REQUIRE(session.play());
+  REQUIRE(session.run());
   const CallBook& book = session.book();
   const Violations none;
   CHECK(book.calls.size() == kCalls);
@@ -339,16 +340,16 @@
   CHECK(calls_without_exactly_one_answer(book) == none);
   CHECK(late_answers(book, session.settings().answer_grace) == none);
   CHECK(answers_after_cancellation(book) == none);
-  CHECK(served_bodies_that_no_host_gave(book) == none);
-  CHECK(repeats_of_what_may_have_run(book) == none);
-  CHECK(refusals_of_what_may_have_run(book) == none);
+  CHECK(served_bodies_from_no_host(book) == none);
+  CHECK(retries_after_possible_run(book) == none);
+  CHECK(refusals_after_possible_run(book) == none);
   CHECK(overlapping_attempts(book) == none);
-  CHECK(attempts_beyond_the_bound(book, session.settings().max_attempts) == none);
-  CHECK(attempts_after_the_client_left(book) == none);
-  CHECK(attempts_kept_after_the_client_left(book) == none);
-  CHECK(timeouts_beyond_the_clients(book) == none);
+  CHECK(calls_with_too_many_attempts(book, session.settings().max_attempts) == none);
+  CHECK(attempts_after_cancellation(book) == none);
+  CHECK(attempts_kept_after_cancellation(book) == none);
+  CHECK(timeouts_longer_than_the_clients(book) == none);
   CHECK(session.open_in_invoker() == 0);
-  CHECK(session.serves_newcomer());
+  CHECK(session.serves_new_client());
   // The faults were there, and calls were served in spite of them.
   const auto& faults = session.faults();
   CHECK((faults.accept > 0 && faults.socket > 0 && faults.connect > 0 && faults.poll > 0));
--- a/tests/invoker/support/faulty_calls.h
+++ b/tests/invoker/support/faulty_calls.h
@@ -38,51 +38,52 @@
         rates_(rates),
         front_port_(std::stoi(front_address.substr(front_address.rfind(':') + 1))) {}
 
-  /// Runs `make`; sockets that it opens never fail.
-  template <typename Make>
-  auto spare(const Make& make) {
-    sparing_ = true;
-    auto made = make();
-    sparing_ = false;
-    return made;
+  /// Runs `open_sockets`; sockets that it opens never fail.
+  template <typename OpenSockets>
+  auto without_faults(const OpenSockets& open_sockets) {
+    faults_suspended_ = true;
+    auto result = open_sockets();
+    faults_suspended_ = false;
+    return result;
   }
   const Counts& counts() const { return counts_; }
   /// Polls that did not fail: in each of them all that could be read was reported.
   std::uint64_t polls() const { return polls_; }
 
   int socket(int domain, int type, int protocol) override {
-    if (!sparing_ && is_due(counts_.socket, rates_.socket))
+    if (!faults_suspended_ && is_due(counts_.socket, rates_.socket))
       return fail(counts_.socket, {ENFILE, EMFILE, ENOBUFS});
     const int fd = SystemCalls::socket(domain, type, protocol);
     forget(fd);
     return fd;
   }
   int connect(int fd, const sockaddr* address, socklen_t size) override {
-    if (sparing_) return SystemCalls::connect(fd, address, size);
+    if (faults_suspended_) return SystemCalls::connect(fd, address, size);
     if (is_due(counts_.connect, rates_.connect))
       return fail(counts_.connect, {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
-    to_hosts_.insert(fd);
+    host_connections_.insert(fd);
     return SystemCalls::connect(fd, address, size);
   }
   int accept(int fd, int flags) override {
-    const bool front = is_front(fd);
+    const bool front = is_front_listener(fd);
     if (front && counts_.accept == 0) return fail_accept({ENOBUFS});
-    if (front && accepts_failed_in_a_row_ < kMostInARow && is_due(counts_.accept, rates_.accept)) {
+    if (front && consecutive_accept_failures_ < kMaxConsecutiveFailures &&
+        is_due(counts_.accept, rates_.accept)) {
       return fail_accept({ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM});
     }
-    if (front) accepts_failed_in_a_row_ = 0;
+    if (front) consecutive_accept_failures_ = 0;
     const int accepted = SystemCalls::accept(fd, flags);
     forget(accepted);
-    if (front && accepted >= 0) from_clients_.insert(accepted);
+    if (front && accepted >= 0) client_connections_.insert(accepted);
     return accepted;
   }
   ssize_t receive(int fd, void* buffer, std::size_t size) override {
     if (fails(fd)) return -1;
-    return SystemCalls::receive(fd, buffer, shortened(fd, size));
+    return SystemCalls::receive(fd, buffer, shorten(fd, size));
   }
   ssize_t send(int fd, const void* bytes, std::size_t size) override {
     if (fails(fd)) return -1;
-    return SystemCalls::send(fd, bytes, shortened(fd, size));
+    return SystemCalls::send(fd, bytes, shorten(fd, size));
   }
   int poll(pollfd* descriptors, nfds_t count, int timeout_ms) override {
     if (is_due(counts_.poll, rates_.poll)) return fail(counts_.poll, {EINTR});
@@ -92,18 +93,18 @@
 
  private:
   // Failures to accept last a moment: calls on a connection that waits longer can't be answered in time.
-  static constexpr int kMostInARow = 2;
+  static constexpr int kMaxConsecutiveFailures = 2;
   Random random_;
   Rates rates_;
   Counts counts_;
   int front_port_;
-  bool sparing_ = false;
-  int accepts_failed_in_a_row_ = 0;
+  bool faults_suspended_ = false;
+  int consecutive_accept_failures_ = 0;
   std::uint64_t polls_ = 0;
-  std::set<int> to_hosts_, from_clients_;
+  std::set<int> host_connections_, client_connections_;
 
-  bool is_due(std::uint64_t failed_before, unsigned in_thousand) {
-    return failed_before == 0 || below(random_, 1000) < in_thousand;
+  bool is_due(std::uint64_t failed_before, unsigned per_mille) {
+    return failed_before == 0 || below(random_, 1000) < per_mille;
   }
   int fail(std::uint64_t& count, const std::vector<int>& errors) {
     ++count;
@@ -111,24 +112,26 @@
     return -1;
   }
   int fail_accept(const std::vector<int>& errors) {
-    ++accepts_failed_in_a_row_;
+    ++consecutive_accept_failures_;
     return fail(counts_.accept, errors);
   }
   // A new descriptor has the number of one that was closed.
   void forget(int fd) {
-    to_hosts_.erase(fd);
-    from_clients_.erase(fd);
+    host_connections_.erase(fd);
+    client_connections_.erase(fd);
   }
-  bool is_front(int listener) const {
+  bool is_front_listener(int listener) const {
     sockaddr_in address{};
     socklen_t size = sizeof address;
     if (getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size) != 0) return false;
     return ntohs(address.sin_port) == front_port_;
   }
-  bool is_invokers(int fd) const { return to_hosts_.count(fd) != 0 || from_clients_.count(fd) != 0; }
+  bool is_invoker_socket(int fd) const {
+    return host_connections_.count(fd) != 0 || client_connections_.count(fd) != 0;
+  }
   bool fails(int fd) {
-    if (!is_invokers(fd)) return false;
-    if (to_hosts_.count(fd) != 0 && is_due(counts_.broken, rates_.broken)) {
+    if (!is_invoker_socket(fd)) return false;
+    if (host_connections_.count(fd) != 0 && is_due(counts_.broken, rates_.broken)) {
       fail(counts_.broken, {ETIMEDOUT, EHOSTUNREACH, ECONNRESET});
       return true;
     }
@@ -136,8 +139,8 @@
     fail(counts_.interrupted, {EINTR});
     return true;
   }
-  std::size_t shortened(int fd, std::size_t size) {
-    if (size < 2 || !is_invokers(fd) || !is_due(counts_.cut_short, rates_.cut_short)) return size;
+  std::size_t shorten(int fd, std::size_t size) {
+    if (size < 2 || !is_invoker_socket(fd) || !is_due(counts_.cut_short, rates_.cut_short)) return size;
     ++counts_.cut_short;
     return 1 + below(random_, std::min<std::size_t>(size - 1, 100));
   }
--- a/tests/invoker/support/random.h
+++ b/tests/invoker/support/random.h
@@ -16,14 +16,14 @@
 
 // The parser must give the same for a message however it is cut.
 template <typename Parser, typename Out>
-std::vector<Out> parse_cut(Random& random, const std::string& bytes, bool& sound) {
+std::vector<Out> parse_cut(Random& random, const std::string& bytes, bool& valid) {
   Parser parser;
   std::vector<Out> out;
-  sound = true;
-  for (std::size_t at = 0; at < bytes.size() && sound;) {
-    const std::size_t part = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
-    sound = parser.take(std::string_view(bytes).substr(at, part), out);
-    at += part;
+  valid = true;
+  for (std::size_t at = 0; at < bytes.size() && valid;) {
+    const std::size_t size = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
+    valid = parser.take(std::string_view(bytes).substr(at, size), out);
+    at += size;
   }
   return out;
 }
