--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -92,8 +92,8 @@
     const Result result = sequence.read_event(std::move(event), list);
     if (result == Result::gap || result == Result::malformed) {
       counters_.add(core::Counter::feed_known_unread);
-      report_error("known: an event cannot be read; asking the change log from " +
-                   std::to_string(sequence.last()));
+      report_error("known: cannot read an event; requesting the events after " +
+                   std::to_string(sequence.last()) + " from the membership log");
       return sequence;  // the change log sends the rest again
     }
     if (result == Result::no_update) continue;
@@ -139,7 +139,7 @@
       return;
     }
   }
-  log_event("listens on " + resp_front_.address());
+  log_event("listening on " + resp_front_.address());
 }
 
 // Serves the membership and the signals meanwhile. False, at once, if the program is to end.
@@ -158,7 +158,7 @@
   amqp_front_.emplace(loop_, buffers_, dispatcher_, counters_, config_.settings,
                       broker_settings(*config_.amqp), amqp_limits(*config_.amqp));
   amqp_front_->start();
-  log_event("takes triggers from " + config_.amqp->broker);
+  log_event("consuming AMQP deliveries from " + config_.amqp->broker);
 }
 
 // The file is read whole and checked; only then is the list of hosts followed to where it says.
@@ -214,7 +214,7 @@
 
 void Invoker::begin_shutdown(Millis now) {
   shutdown_.start(now);
-  log_event("ends: " + std::to_string(dispatcher_.open_calls()) + " calls open");
+  log_event("shutting down: " + std::to_string(dispatcher_.open_calls()) + " calls open");
   resp_front_.drain();
   if (amqp_front_) amqp_front_->drain();
 }
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -133,9 +133,9 @@
   std::string start() {
     file.write(config);
     program.emplace(file.path());
-    REQUIRE(turn_until([&] { return program->output().find("listens on ") != std::string::npos; }));
+    REQUIRE(turn_until([&] { return program->output().find("listening on ") != std::string::npos; }));
     const std::string& output = program->output();
-    const auto at = output.find("listens on ") + 11;
+    const auto at = output.find("listening on ") + 13;
     return output.substr(at, output.find('\n', at) - at);
   }
   template <typename Until>
@@ -277,7 +277,7 @@
   start_with_address_in_use(fixture, holder);
   holder.close();
   REQUIRE(fixture.turn_until([&] {
-    return fixture.program->output().find("listens on " + address) != std::string::npos ||
+    return fixture.program->output().find("listening on " + address) != std::string::npos ||
            fixture.program->exit_status();
   }));
   REQUIRE_FALSE(fixture.program->exit_status());
--- a/tests/soak/invoker_slot.cpp
+++ b/tests/soak/invoker_slot.cpp
@@ -97,7 +97,7 @@
   log.seekg(static_cast<std::streamoff>(log_read_));
   std::stringstream text;
   text << log.rdbuf();
-  const std::string words = "listens on ";
+  const std::string words = "listening on ";
   const auto at = text.str().rfind(words);
   if (at == std::string::npos) return;
   const auto begin = at + words.size();
