--- a/src/core/call_references.h
+++ b/src/core/call_references.h
@@ -1,4 +1,4 @@
-/// The references under which calls may not be taken.
+/// The call references that are in use.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,27 @@
 
 namespace pathstack::core {
 
-/// Keeps each reference unique among the open calls and those that ended a short while ago.
+/// Keeps each reference unique among the open calls and the recently ended ones.
 ///
-/// Hosts know a call by its reference alone, and a late answer may still come under that of an ended call:
-/// with two calls under one reference, one would get the other's answer. Those of ended calls are forgotten
-/// after 10 s, or when 8,192 calls have ended since. Memory: the open calls and at most 8,192 more. Knows no
-/// clock; both operations take amortised constant time.
+/// Hosts identify a call by its reference alone, and a late answer may still arrive under the reference of an
+/// ended call: if two calls had one reference, one could get the answer of the other. The reference of an
+/// ended call is removed after 10 s, or when 8,192 calls have ended since. Memory: one entry for each open
+/// call and at most 8,192 more. Reads no clock; both operations take amortised constant time.
 class CallReferences {
  public:
   static constexpr Millis kRetentionTime{10000};
   static constexpr std::size_t kMaxEnded = 8192;
 
-  /// Adds the reference of a call that opens; false, and nothing is added, if it is in use or ended lately.
+  /// Adds the reference of a new call. Returns false and adds nothing if the reference is in use by an open
+  /// or recently ended call.
   bool try_add(const std::string& ref) { return refs_.insert(ref).second; }
 
-  /// The call under `ref` has ended at `now`. Must follow one `try_add` that succeeded, once, and `now` must
-  /// not decrease from call to call. The only place where references are forgotten.
+  /// Records that the call under `ref` ended at `now`, and removes expired references; nothing else removes
+  /// any. Must be called exactly once for each successful `try_add`, and `now` must not decrease between
+  /// calls.
   void note_ended(const std::string& ref, Millis now);
 
-  /// References that can't be added.
+  /// The number of references that cannot be added.
   std::size_t size() const { return refs_.size(); }
 
  private:
--- a/src/core/call_validator.cpp
+++ b/src/core/call_validator.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 constexpr int kMaxSlots = 1024;              // concurrency slots of one instance
-constexpr double kDefaultMaxMemoryMb = 1e6;  // where the settings don't state the memory of hosts
-// On sockets each time limit of the settings grows by this: clients are seen to wait a few ms past it.
+constexpr double kDefaultMaxMemoryMb = 1e6;  // if the settings do not state the memory of hosts
+// Added to each time limit of the settings for calls over sockets: clients were seen to wait a few
+// milliseconds longer than the limit.
 constexpr Millis kTimeLimitSlack{50};
 
 double largest_memory_mb(const Settings& settings) {
@@ -34,12 +35,12 @@
   return std::nullopt;
 }
 
-// A call need not name a tenant.
+// A call may leave out its tenant. Settings without tenants allow any.
 bool CallValidator::is_known_tenant(const std::string& tenant) const {
   return tenant.empty() || tenants_.empty() || tenants_.count(tenant) != 0;
 }
 
-// A memory that is not a number fails the first comparison.
+// NaN as the memory fails the first comparison.
 bool CallValidator::has_valid_resources(const Call& call) const {
   const bool memory_in_range = call.memory_mb >= 0 && call.memory_mb <= max_memory_mb_;
   return memory_in_range && call.concurrency >= 1 && call.concurrency <= kMaxSlots;
--- a/src/core/call_validator.h
+++ b/src/core/call_validator.h
@@ -1,4 +1,4 @@
-/// Tells the calls that hosts can run from those that no host could use.
+/// Validation of calls before they are taken.
 #pragma once
 
 #include <map>
@@ -11,19 +11,20 @@
 
 namespace pathstack::core {
 
-/// Checks calls against the settings before they are taken. A call that no host can use costs hosts and the
-/// load budget all the same, and may close a connection on which others wait: it ends here, whichever front
-/// it came through. Holds what it needs of the settings and no state of calls.
+/// Checks calls against the settings, for every front. A call that no host can run would still use hosts and
+/// the load budget, and might make a host close a connection that carries other calls. Keeps a copy of the
+/// settings that it needs, and no state of calls.
 class CallValidator {
  public:
   explicit CallValidator(const Settings& settings);
 
-  /// The reason for which `call` is rejected, as the counter that counts it; nothing if the call is valid.
-  /// Its times are in milliseconds, its memory in megabytes. Cost: logarithmic in the classes and tenants.
+  /// Returns the reason to reject `call`, as the counter of that reason; nothing if the call is valid. Times
+  /// of the call are in milliseconds, its memory is in megabytes. Cost: logarithmic in the number of classes
+  /// and tenants.
   std::optional<Counter> find_fault(const Call& call) const;
 
  private:
-  std::map<std::string, Millis> deadlines_;  // of the classes
+  std::map<std::string, Millis> deadlines_;  // by class name
   std::set<std::string> tenants_;            // empty: any tenant is allowed
   double max_memory_mb_ = 0;
 
--- a/src/core/counter.cpp
+++ b/src/core/counter.cpp
@@ -181,7 +181,7 @@
   }
   return true;
 }
-static_assert(in_enum_order(), "the descriptions stand in the order of the enumeration");
+static_assert(in_enum_order(), "the descriptions must be in the order of the enumeration");
 
 }  // namespace
 
--- a/src/core/counter.h
+++ b/src/core/counter.h
@@ -1,4 +1,4 @@
-// The counters of the program: each is declared once, with its name, unit and help text.
+/// The counters of the program, each declared once with its name, unit and help text.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace pathstack::core {
 
-/// A count that an operator sees. In the order of their names, as `counter.cpp` describes them.
+/// A counter that operators see. Sorted by name; the descriptions in counter.cpp have the same order.
 enum class Counter : std::size_t {
   amqp_acked,
   amqp_answers_kept,
@@ -121,18 +121,18 @@
 /// The number of counters.
 constexpr std::size_t kCounterCount = static_cast<std::size_t>(Counter::xds_rejected) + 1;
 
-/// What an operator reads of a counter.
+/// The description of a counter for operators.
 struct CounterInfo {
   Counter counter;
-  std::string_view name;  // in the log
+  std::string_view name;  // as in the log
   std::string_view unit;  // what is counted
-  std::string_view help;  // which of them
+  std::string_view help;  // which of these are counted
 };
 
-/// The description of `counter`. Cost: constant.
+/// Returns the description of `counter`. Cost: constant.
 const CounterInfo& counter_info(Counter counter);
 
-/// The table of all counters in Markdown, as it stands in the README.
+/// Returns the table of all counters in Markdown, as it stands in README.md.
 std::string counter_table();
 
 }  // namespace pathstack::core
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::core {
 namespace {
 
-constexpr std::string_view kGaugePrefix = "now.";  // begins the name of a figure that is not a count
+constexpr std::string_view kGaugePrefix = "now.";  // prefix of statistics that are present values, not counts
 constexpr int kStatisticDigits = 4;
 
 }  // namespace
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,4 @@
-// Counts of what the program takes in, sends and answers.
+/// The values of the program's counters and their output in the log.
 #pragma once
 
 #include <array>
@@ -17,12 +17,12 @@
   void add(Counter counter, std::uint64_t amount = 1) { values_.at(index(counter)) += amount; }
   std::uint64_t value(Counter counter) const { return values_.at(index(counter)); }
 
-  /// All counters that are not 0, a line each. Cost: the number of counters.
+  /// Returns a line `NAME VALUE` for each counter that is not 0. Cost: linear in the number of counters.
   std::vector<std::string> lines() const;
 
-  /// One line with what was counted since the last call, then the figures of the decision module: their
-  /// growth since the last call, or as they are for names that begin with "now.". Empty if nothing was
-  /// counted.
+  /// Returns a line with the growth of each counter since the previous call, followed by the statistics of
+  /// the decision module: their growth since the previous call, or the value itself for names that begin
+  /// with "now.". Empty if no counter has grown.
   std::string status(const std::map<std::string, double>& module_statistics);
 
  private:
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -6,9 +6,10 @@
 namespace pathstack::core {
 namespace {
 
-// What the module leaves open is ended this long after its deadline, inside the grace that the rules give.
+// A call that the module has not ended is failed this long after its deadline, within the grace period that
+// the rules allow for answers.
 constexpr Millis kOverdueGrace{2};
-constexpr Millis kMinAttemptTimeout{1};  // of an attempt
+constexpr Millis kMinAttemptTimeout{1};
 
 Counter counter_for(CallStatus status) {
   switch (status) {
@@ -35,7 +36,7 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-// Nothing unless `attempt` is the one that the call has open.
+// Null unless `attempt` is the open attempt of its call.
 OpenCall* Dispatcher::find_call_by_attempt(const Attempt& attempt) {
   OpenCall* call = find_call(attempt.call);
   const bool is_open = call != nullptr && call->attempt() && call->attempt()->attempt == attempt;
@@ -75,7 +76,7 @@
 void Dispatcher::abandon(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_left);
-  // The module is notified before the attempt ends: it must not retry what nobody waits for.
+  // The module is notified before the attempt ends: it must not retry a call that nobody waits for.
   apply_steps(module_.report(clock_(), CallAbandoned{id}));
   OpenCall* open = find_call(id);
   if (open != nullptr && open->attempt()) {
@@ -94,12 +95,14 @@
   std::sort(ids.begin(), ids.end());
   for (const CallId id : ids) {
     counters_.add(Counter::calls_ended_unserved);
-    apply_steps(module_.report(clock_(), CallAbandoned{id}));  // first, or it would retry what fails now
+    apply_steps(module_.report(
+        clock_(), CallAbandoned{id}));  // first, or the module would retry the call that is refused next
     apply(RefuseStep{id, Millis(0)});
   }
 }
 
-// Reports the end of an attempt that this side gave up, if one is open. `call` may be gone afterwards.
+// Reports the end of the open attempt, which this side has cancelled; does nothing if there is none. `call`
+// may have been destroyed when this returns.
 void Dispatcher::report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_finished) {
   if (!call.attempt()) return;
   const OpenAttempt closed = call.close_attempt(outcome);
@@ -127,7 +130,7 @@
   reported.concurrent_calls = end.concurrent_calls;
   reported.elapsed = now - closed.sent_at;
   reported.report = std::move(end.report);
-  // The answer goes first: the module's turn may be long.
+  // The answer is sent first, as the module's decision may take long.
   if (served) finish(attempt.call, {CallStatus::served, Millis(0), std::move(end.body)});
   apply_steps(module_.report(now, reported));
 }
@@ -164,7 +167,7 @@
   }
 }
 
-// The attempt may have ended long ago.
+// The attempt may have ended before its time-out; then there is nothing to do.
 void Dispatcher::time_out_attempt(const Attempt& attempt) {
   OpenCall* call = find_call_by_attempt(attempt);
   if (call == nullptr) return;
@@ -173,7 +176,7 @@
   report_abandoned_attempt(*call, may_have_run ? Outcome::timeout : Outcome::connect_failed, false);
 }
 
-// The module must answer every call in time; one that it forgot would never be answered but for this.
+// The module must end every call in time; this answers a call that it did not end.
 void Dispatcher::fail_overdue_call(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_overdue);
@@ -188,7 +191,7 @@
 
 void Dispatcher::apply_steps(Steps&& steps) {
   for (auto& step : steps) steps_.push_back(std::move(step));
-  if (applying_steps_) return;  // the outer call applies these in their order
+  if (applying_steps_) return;  // the outer invocation applies them, in order
   applying_steps_ = true;
   while (!steps_.empty()) {
     const Step step = std::move(steps_.front());
@@ -230,7 +233,8 @@
   OpenCall* call = find_call(step.call);
   if (call == nullptr) return;
   if (call->attempt() && hosts_.cancel(call->attempt()->attempt)) call->note_may_have_run();
-  // A refusal says that a retry is harmless; what may have run is failed, with the same advice.
+  // A refusal states that a retry is harmless. A call that may have run is answered as failed, with the same
+  // retry time.
   const bool harmless = !call->may_have_run();
   finish(step.call, {harmless ? CallStatus::refused : CallStatus::failed, step.retry_after, {}});
 }
@@ -258,7 +262,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   OpenCall call = std::move(found->second);
-  calls_.erase(found);  // first: whatever follows finds the call ended
+  calls_.erase(found);  // first, so that the code below finds the call ended
   references_.note_ended(call.call().ref, clock_());
   counters_.add(counter_for(answer.status));
   if (call.attempt()) hosts_.cancel(call.attempt()->attempt);
@@ -267,7 +271,7 @@
   report_abandoned_attempt(call, Outcome::cancelled, true);
 }
 
-// What one looks for first when a client complains: which hosts the call met, and what they said.
+// Logs the hosts that were tried and their outcomes, for the analysis of a client's complaint.
 void Dispatcher::log_unserved(const OpenCall& call, CallStatus status) {
   if (event_log_ == nullptr) return;
   std::string attempts;
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -1,4 +1,4 @@
-/// A call's life: taken, tried at hosts one attempt at a time, ended by exactly one final answer.
+/// Carries calls from their arrival to exactly one final answer, with one attempt at a host at a time.
 #pragma once
 
 #include <deque>
@@ -20,57 +20,62 @@
 
 namespace pathstack::core {
 
-/// Owns the open calls. Fronts hand calls in and get their answers; the decision module says what to do with
-/// each, as steps; the hosts carry attempts, load orders and probes.
+/// Owns the open calls. Fronts pass calls in and receive their answers. The decision module returns what to
+/// do as steps. Attempts, load orders and probes go out through `Hosts`.
 ///
-/// Whatever the module says, a call has at most one attempt out, no more attempts than the settings allow, no
-/// second run where it must run once, and one answer by its deadline. Used on the loop's thread only. May be
-/// called from inside the callbacks of `Front` and `Hosts`: steps that arise there follow those under way.
+/// Enforces, whatever the module decides: at most one open attempt of a call, no more attempts than the
+/// settings allow, no second run of a call that must not run twice, and one answer by the call's deadline.
+/// Used on the loop's thread only. May be called from inside the callbacks of `Front` and `Hosts`: steps that
+/// result from such a call are queued behind the steps being applied.
 class Dispatcher {
  public:
   /// Returns the monotonic time.
   using Clock = std::function<Millis()>;
-  /// The references must outlive this object.
+  /// `hosts` and `counters` must outlive this object.
   Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters);
 
-  /// Calls that end unserved are told of in `log`, which must outlive this object. Without one nothing is
+  /// Sets the log of calls that end unserved; `log` must outlive this object. Without a log nothing is
   /// written.
   void set_event_log(EventLog& log) { event_log_ = &log; }
 
-  /// An id for a new call, made beforehand, so that a front can file the call before an answer comes.
+  /// Returns an id for a new call. The id exists before `take`, so that a front can register the call before
+  /// its answer arrives.
   CallId next_id() { return ++last_id_; }
-  /// Takes a call under an id of `next_id`; its answer may be given before this returns. False, with the
-  /// reason counted, if no host could use it or its reference is in use: `front` then owes it a failure.
-  /// Cost: that of a decision of the module.
+  /// Takes a call under an id from `next_id`; its answer may be given before this function returns. Returns
+  /// false and counts the reason if the call is invalid or its reference is in use: `front` must then answer
+  /// the call as failed. Cost: one decision of the module.
   bool take(CallId id, Call&& call, Front& front);
-  /// The client is gone: no answer is owed. Nothing happens if the call is not open.
+  /// Ends a call whose client has cancelled or disconnected, without an answer. No effect if the call is not
+  /// open. Cost: up to two decisions.
   void abandon(CallId id);
-  /// The program ends: every open call gets its final answer now. Cost: a decision for each open call.
+  /// Gives every open call its final answer, at the end of the program. Cost: a decision for each open call.
   void finish_all();
 
-  /// Reported by the hosts: an attempt that was not cancelled has ended. Cost: a decision, as of all below.
+  /// Reports that an attempt that was not cancelled has ended. Cost: a decision, as for every report below.
   void attempt_ended(const Attempt& attempt, AttemptEnd&& end);
-  /// A load order has ended.
+  /// Reports that a load order has ended.
   void load_ended(LoadOutcome&& end);
-  /// A probe has ended.
+  /// Reports that a probe has ended.
   void probe_ended(ProbeOutcome&& end);
-  /// The membership log has a complete list, or changes. The hosts must know of them before.
+  /// Passes a complete list of hosts, or changes of one, to the module. `Hosts` must have received the list
+  /// before, as the module may send to the new hosts at once.
   void update_hosts(HostList&& list);
-  /// A host has closed the last connection to it.
+  /// Reports that a host has closed the last connection to it.
   void host_connections_lost(const std::string& host);
-  /// The list of hosts may be relied on until then; changes after that count as told from
-  /// `later_changes_from` on. The hosts must know of it before.
+  /// Sets that the list of hosts is current until `until`. Changes made after `until` do not count as
+  /// received before `later_changes_from`. `Hosts` must have received the lease before.
   void update_list_lease(Millis until, Millis later_changes_from = Millis(0));
-  /// Asked when a load order is about to be written; false, and counted, if the load budget is spent.
+  /// Takes one load order from the load budget, just before the order is written. Returns false and counts
+  /// the order as stopped if the budget is spent.
   bool take_load_budget();
 
-  /// Does all that is due by now. Cost: a decision for each timer and deadline that has passed.
+  /// Handles all timers and deadlines that are due. Cost: a decision for each.
   void tick();
-  /// When `tick` has to be called next; infinite if nothing is due.
+  /// The time at which `tick` must be called next; infinite if nothing is due.
   Millis next_due() const;
   /// The number of open calls.
   std::size_t open_calls() const { return calls_.size(); }
-  /// The module's figures for operators.
+  /// The module's statistics for operators.
   std::map<std::string, double> module_statistics() const { return module_.statistics(); }
 
  private:
@@ -78,7 +83,7 @@
     static constexpr int kCallDeadline = -1;
     Millis at{0};
     CallId call = 0;
-    int attempt = kCallDeadline;  // its number, or `kCallDeadline` for the call's own deadline
+    int attempt = kCallDeadline;  // number of the attempt, or `kCallDeadline` for the deadline of the call
     bool operator>(const Deadline& o) const {
       return std::tie(at, call, attempt) > std::tie(o.at, o.call, o.attempt);
     }
@@ -96,7 +101,7 @@
   CallId last_id_ = 0;
   std::unordered_map<CallId, OpenCall> calls_;
   std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
-  std::deque<Step> steps_;  // yet to be applied, in their order
+  std::deque<Step> steps_;  // still to be applied, in this order
   bool applying_steps_ = false;
 
   void apply_steps(Steps&& steps);
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -48,7 +48,7 @@
   return false;
 }
 
-// In an overload a line that is not written costs nothing.
+// The rate limit is checked first, so that a dropped line is not formatted.
 void EventLog::write(std::string_view name, std::initializer_list<Field> fields) {
   const Millis now = clock_();
   if (!may_write(now)) return;
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -1,4 +1,4 @@
-// Lines of the log that tell of single events: of one call, one worker, one connection.
+/// Log lines for single events of a call, a worker or a connection, with a rate limit.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,13 @@
 
 namespace pathstack::core {
 
-/// Name of an outcome in the log.
+/// Returns the name of an outcome in the log.
 const char* log_name(Outcome outcome);
 
-/// Writes `event NAME t=SECONDS key=value ...`, at most `kLinesPerSecond` in the mean: past that lines are
-/// dropped and counted, so that an overload is not made worse by telling of it. The time is Unix time by the
-/// monotonic clock. Cost: constant, and linear in the line.
+/// Writes lines `event NAME t=SECONDS key=value ...`. A token bucket limits them to `kLinesPerSecond` on
+/// average, with bursts of `kBurst` lines. Lines above the limit are dropped and counted, so that logging
+/// does not add to an overload. `t` is Unix time that advances with the monotonic clock. Cost of a line:
+/// linear in its length; of a dropped line: constant.
 class EventLog {
  public:
   using Clock = std::function<Millis()>;
@@ -29,8 +30,9 @@
 
   EventLog(Clock clock, WriteLine write_line, Counters& counters);
 
+  /// Writes the event `name` with `fields`.
   void write(std::string_view name, std::initializer_list<Field> fields);
-  /// The same for `text` of the form `NAME key=value ...`.
+  /// Writes an event from `text` of the form `NAME key=value ...`.
   void write(const std::string& text);
 
  private:
--- a/src/core/log_writer.cpp
+++ b/src/core/log_writer.cpp
@@ -31,7 +31,7 @@
 }
 
 void LogWriter::flush() {
-  // A pipe that polls writable takes PIPE_BUF bytes at least without blocking.
+  // A pipe that poll(2) reports as writable accepts at least PIPE_BUF bytes without blocking.
   while (!pending_.empty() && is_writable(descriptor_)) {
     const ssize_t written =
         ::write(descriptor_, pending_.data(), std::min<std::size_t>(pending_.size(), PIPE_BUF));
@@ -41,7 +41,7 @@
     }
     if (errno == EINTR) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-    // Nobody can read it any more.
+    // After any other error nobody can read the output any more.
     counters_.add(Counter::log_lines_dropped,
                   static_cast<std::uint64_t>(std::count(pending_.begin(), pending_.end(), '\n')));
     pending_.clear();
--- a/src/core/log_writer.h
+++ b/src/core/log_writer.h
@@ -1,4 +1,4 @@
-// Lines of the log, written without ever waiting for whoever reads them.
+/// Non-blocking output of log lines.
 #pragma once
 
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace pathstack::core {
 
-/// Writes lines to a descriptor that the program shares with others, such as standard output.
+/// Writes lines to a descriptor that other processes may share, such as standard output.
 ///
-/// Never blocks: a pipe that nobody reads would stop the event loop, and with it all calls. What cannot be
-/// written at once is kept, up to 64 KiB; whole lines past that are dropped and counted as
-/// `log.lines_dropped`. The descriptor stays in blocking mode, as that mode belongs to all processes that
-/// share it.
+/// Never blocks: writing to a pipe that nobody reads would block the event loop, and with it all calls. Text
+/// that cannot be written immediately is buffered, up to 64 KiB; lines that do not fit into the buffer are
+/// dropped whole and counted as `log.lines_dropped`. The descriptor stays in blocking mode, as all processes
+/// that share it share its mode.
 class LogWriter {
  public:
   /// Does not own `descriptor`.
   LogWriter(int descriptor, Counters& counters) : descriptor_(descriptor), counters_(counters) {}
 
-  /// Appends a line end.
+  /// Writes or buffers `line` and a line end.
   void write_line(std::string_view line);
-  /// Goes on with what is kept. Cost: one poll(2), and one write(2) for each 4 KiB.
+  /// Writes as much buffered text as possible. Cost: one poll(2) and one write(2) for each 4 KiB.
   void flush();
 
  private:
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,4 +1,4 @@
-/// The times of a graceful shutdown: from SIGTERM to the last moment before SIGKILL.
+/// Timing of a graceful shutdown, from SIGTERM to just before SIGKILL.
 #pragma once
 
 #include <algorithm>
@@ -7,41 +7,44 @@
 
 namespace pathstack::core {
 
-/// Says what an invoker that shuts down still does at a time. Knows no clock; every call is O(1). Before
-/// `start` everything goes on.
+/// Tells which phases of a graceful shutdown have passed at a given time. Reads no clock; every call takes
+/// constant time. Before `start` no phase has passed.
 class Shutdown {
  public:
-  /// `longest_deadline` is the longest of all classes.
+  /// `longest_deadline`: the longest deadline of any class of calls.
   explicit Shutdown(Millis longest_deadline)
       : answer_time_(std::min(longest_deadline, kMaxCountedDeadline) + kAnswerTimePastDeadline) {}
 
-  /// SIGTERM came at `now`; a second one gives no more time.
+  /// Starts the shutdown: SIGTERM was received at `now`. A second SIGTERM does not extend the time.
   void start(Millis now) {
     if (!started_) started_at_ = now;
     started_ = true;
   }
   bool started() const { return started_; }
-  /// True while new connections may still come.
+  /// True while new connections may still arrive.
   bool accepts_connections(Millis now) const { return !past(now, kConnectionTime); }
-  /// True while new requests may still come.
+  /// True while new requests may still arrive.
   bool accepts_requests(Millis now) const { return !past(now, kRequestTime); }
-  /// True once SIGKILL is near: what is open gets its final answer now, or never.
+  /// True once every open call must get its final answer, as SIGKILL is near.
   bool final_answers_due(Millis now) const { return past(now, answer_time_); }
-  /// When to stop waiting for clients to close their connections, if all is answered by `now`.
+  /// The time at which to stop waiting for clients to close their connections, if all calls are answered at
+  /// `now`.
   Millis linger_until(Millis now) const {
     return std::min(now, started_at_ + answer_time_ + kWriteTime) + kLingerTime;
   }
-  /// True once there is no time left for anything but the exit.
+  /// True once the program must exit without waiting for anything else.
   bool must_exit(Millis now) const { return past(now, answer_time_ + kWriteTime); }
 
  private:
-  // SIGKILL comes no sooner than 0.7 s past the longest deadline, which counts as 3 s where it is longer.
+  // SIGKILL follows SIGTERM no sooner than the longest deadline plus 0.7 s. Deadlines longer than 3 s count
+  // as 3 s.
   static constexpr Millis kMaxCountedDeadline{3000};
   static constexpr Millis kAnswerTimePastDeadline{500};
+  // For writing the final answers.
   static constexpr Millis kWriteTime{50};
-  // For clients to close their connections. The rest, 80 ms, is for the exit.
+  // For clients to close their connections. The remaining 80 ms are for the exit of the process.
   static constexpr Millis kLingerTime{70};
-  // Connections come for at most 0.4 s, requests for 0.2 s more.
+  // After SIGTERM, new connections arrive for at most 0.4 s and new requests for 0.2 s more.
   static constexpr Millis kConnectionTime{500};
   static constexpr Millis kRequestTime{800};
 
