--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -14,9 +14,9 @@
 
 using core::Millis;
 
-constexpr Millis kStatusInterval{5000};   // of the log's status lines
-constexpr Millis kShutdownInterval{20};   // of looks at whether the end has come
-constexpr Millis kListenRetryTime{5000};  // while the listener cannot be opened for a moment
+constexpr Millis kStatusInterval{5000};   // between status lines in the log
+constexpr Millis kShutdownInterval{20};   // between checks whether the shutdown is complete
+constexpr Millis kListenRetryTime{5000};  // of transient errors of the listener
 constexpr Millis kListenRetryDelay{100};
 constexpr const char* kProgram = "pathstack-invoker";
 
@@ -28,7 +28,7 @@
 // Throws config::ConfigError.
 config::Config read_configuration(const std::string& path) {
   if (path.empty()) {
-    throw config::ConfigError("configuration: BALANCER_CONFIG: not set, and no file was named");
+    throw config::ConfigError("configuration: BALANCER_CONFIG: not set, and no file given as argument");
   }
   return config::read_config(config::read_config_file(path), environment_variable("BALANCER_NAME"),
                              environment_variable("BALANCER_LISTEN"));
@@ -36,7 +36,8 @@
 
 }  // namespace
 
-// The signals come first: none may end the program while it starts.
+// The signal handlers are installed first, as the default action of a signal would end the program while it
+// starts.
 Invoker::Invoker(std::string config_file)
     : config_file_(std::move(config_file)),
       signals_(loop_),
@@ -64,13 +65,13 @@
 }
 
 void Invoker::update_members(const core::MemberList& list, core::ListKind kind) {
-  connection_pool_.members(list);  // first: what the module sends next needs the addresses
+  connection_pool_.members(list);  // first: the module may send to these hosts at once
   core::HostList entries{kind, {}};
   for (const auto& member : list.members) entries.entries.push_back(member.entry);
   dispatcher_.update_hosts(std::move(entries));
 }
 
-// The hosts first: the module may send at once.
+// The connection pool is updated first, as the module may send at once.
 void Invoker::update_list_lease(const feed::ListLease& lease) {
   const Millis until = lease.until();
   list_current_until_ = until;
@@ -94,7 +95,7 @@
       counters_.add(core::Counter::feed_known_unread);
       report_error("known: cannot read an event; requesting the events after " +
                    std::to_string(sequence.last()) + " from the membership log");
-      return sequence;  // the change log sends the rest again
+      return sequence;  // the membership log sends the remaining events
     }
     if (result == Result::no_update) continue;
     update_members(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
@@ -142,7 +143,6 @@
   log_event("listening on " + resp_front_.address());
 }
 
-// Serves the membership and the signals meanwhile. False, at once, if the program is to end.
 bool Invoker::run_until(Millis end) {
   while (loop_.now() < end) {
     loop_.turn(std::min(end, dispatcher_.next_due()), [this] { dispatcher_.tick(); });
@@ -161,11 +161,12 @@
   log_event("consuming AMQP deliveries from " + config_.amqp->broker);
 }
 
-// The file is read whole and checked; only then is the list of hosts followed to where it says.
+// The file is read and checked completely before the source of the host list changes.
 void Invoker::reload() {
   const auto next = read_configuration(config_file_);
   if (next.xds.has_value() != config_.xds.has_value()) {
-    throw config::ConfigError("configuration: xds: can be added or removed at a start only");
+    throw config::ConfigError(
+        "configuration: xds: cannot be added or removed by a reload; restart the program");
   }
   if (host_file_) {
     const xds::HostFile::Status moved = host_file_->move(next.xds->file, next.xds->cluster);
@@ -175,13 +176,12 @@
   counters_.add(core::Counter::config_reread);
 }
 
-// The old configuration goes on.
+// The previous configuration stays in force.
 void Invoker::report_reload_fault(const std::string& fault, bool last) {
   counters_.add(core::Counter::config_faulty);
-  report_error(last ? fault + "; not read again before the next SIGHUP" : fault);
+  report_error(last ? fault + "; giving up until the next SIGHUP" : fault);
 }
 
-// True if the program is to end.
 bool Invoker::handle_signals() {
   const Signals signals = signals_.take();
   if (signals.print_counters) log_counters();
@@ -205,7 +205,7 @@
     if (shutdown_.started() && advance_shutdown(now)) break;
   }
   if (amqp_front_) amqp_front_->close();
-  // What is read in this last turn is answered too.
+  // Calls that are read in this last turn are answered too.
   loop_.turn(loop_.now(), [this] { dispatcher_.finish_all(); });
   close_clients();
   log_status();
@@ -219,7 +219,6 @@
   if (amqp_front_) amqp_front_->drain();
 }
 
-// Carries out what is due by now; true once the program may end.
 bool Invoker::advance_shutdown(Millis now) {
   const bool listener_closed = !shutdown_.accepts_connections(now) && resp_front_.stop_listening();
   if (shutdown_.final_answers_due(now)) dispatcher_.finish_all();
@@ -231,8 +230,9 @@
   return (no_new_input && all_served) || shutdown_.must_exit(now);
 }
 
-// The exit closes what is open by then. Unread input would turn that into a reset, which can overtake the
-// last answers: so connections are closed in order, and the clients are given time to read and close theirs.
+// The exit of the process closes all open connections. The kernel resets a connection that is closed with
+// unread input, and the reset can overtake the last answers. So connections are shut down in order, and the
+// clients get time to read the answers and close their ends.
 void Invoker::close_clients() {
   resp_front_.close_connections();
   const Millis until = shutdown_.linger_until(loop_.now());
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -1,4 +1,4 @@
-// One invoker: its parts, start, loop and graceful shutdown.
+/// The invoker program: construction of its parts, main loop, reload and graceful shutdown.
 #pragma once
 
 #include <limits>
@@ -31,10 +31,10 @@
 class Invoker {
  public:
   /// Reads the configuration file and starts all parts. Throws config::ConfigError, which names the faulty
-  /// key. Takes some seconds while the listener cannot be opened for a moment.
+  /// key. Blocks for up to 5 s while a transient error keeps the listener from being opened.
   explicit Invoker(std::string config_file);
 
-  /// Runs until a SIGTERM has been carried out.
+  /// Runs until the shutdown after a SIGTERM or SIGINT is complete.
   void run();
 
  private:
@@ -57,28 +57,30 @@
   core::Millis next_status_{0};
   core::Millis list_current_until_{std::numeric_limits<double>::infinity()};
   bool list_was_current_ = true;
-  bool terminated_at_start_ = false;  // before it could listen: no call waits for an answer
+  bool terminated_at_start_ = false;  // before it listened: no call is open
 
-  /// Applies the events of the configuration; the result is where the change log has to go on.
+  /// Applies the known events of the configuration; returns the position from which the membership log has to
+  /// continue.
   feed::EventSequence apply_known_events();
   void start_membership();
-  /// Retries an error that may be over in a moment; throws config::ConfigError for any other.
+  /// Opens the listener. Retries transient errors for 5 s; throws config::ConfigError for all others.
   void start_listening();
-  /// Serves the membership and the signals until `end`; false, at once, if the program is to end.
+  /// Handles membership events and signals until `end`. Returns false at once if the program must end.
   bool run_until(core::Millis end);
-  /// True if the program is to end.
+  /// Handles the signals received since the last call; true if the program must end.
   bool handle_signals();
   void start_amqp();
   void update_list_lease(const feed::ListLease& lease);
-  /// Logs that the list of hosts has become stale, or is current again.
+  /// Logs when the list of hosts becomes stale or current again.
   void log_list_state();
   void update_members(const core::MemberList& list, core::ListKind kind);
-  /// Reads the configuration anew; throws config::ConfigError, and has then changed nothing.
+  /// Reads the configuration again and applies its list of hosts; on a fault throws
+  /// config::ConfigError and changes nothing.
   void reload();
   void report_reload_fault(const std::string& fault, bool last);
   void begin_shutdown(core::Millis now);
   void close_clients();
-  /// Carries out what is due by `now`; true once the program may end.
+  /// Performs the shutdown steps that are due at `now`; true once the program may end.
   bool advance_shutdown(core::Millis now);
   void log_status();
   void log_counters();
--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -6,7 +6,7 @@
 namespace pathstack::app {
 namespace {
 
-constexpr std::size_t kOwnDescriptors = 20;  // standard streams, the listener, the change log and the like
+constexpr std::size_t kOwnDescriptors = 20;  // standard streams, listener, membership log and so on
 constexpr std::size_t kMemoryParts = 4;
 constexpr std::size_t kDescriptorParts = 3;
 
--- a/src/app/part_settings.h
+++ b/src/app/part_settings.h
@@ -1,4 +1,4 @@
-// What the configuration means for each part of an invoker.
+/// Derives the settings and limits of each part of an invoker from the configuration.
 #pragma once
 
 #include <cstddef>
@@ -11,22 +11,22 @@
 
 namespace pathstack::app {
 
-/// The bound on each of these: unwritten bytes, bodies of open calls, one line of the membership log. A
-/// quarter of the memory limit, in bytes.
+/// A quarter of the memory limit, in bytes: the bound on unwritten bytes, on bodies of open calls, and on one
+/// line of the membership log, each.
 std::size_t memory_quarter(const config::Config& config);
 
-/// The limits of connections to hosts, which may use a third of the descriptors.
+/// Limits of the connections to hosts, which may use a third of the descriptors.
 hosts::Limits host_limits(const config::Config& config);
 
-/// The limits of clients' connections. They may use a third of the descriptors; the last third is for
-/// connections that have not sent a request yet, less what the program itself holds and what connections that
-/// are being closed may hold.
+/// Limits of the connections of clients, which may use a third of the descriptors. The last third is for
+/// connections that have not sent a request yet, minus the descriptors of the program itself and those of
+/// connections that are being closed.
 resp::Front::Limits client_limits(const config::Config& config);
 
-/// Where AMQP triggers come from.
+/// Settings of the AMQP broker that calls are consumed from.
 amqp::BrokerSettings broker_settings(const config::AmqpConfig& config);
 
-/// The bounds on what AMQP triggers hold.
+/// Limits on the open calls and cached answers of the AMQP front.
 amqp::Front::Limits amqp_limits(const config::AmqpConfig& config);
 
 /// The longest deadline of any class of calls.
--- a/src/app/reloader.h
+++ b/src/app/reloader.h
@@ -1,4 +1,4 @@
-// Takes a new configuration into force, and tries again if its file is being written.
+/// Reloads the configuration on request, with retries while its file is being written.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace pathstack::app {
 
-/// Calls `reload` on request, and again with backoff while it throws: the signal may come when the file has
-/// been written half, or is just being replaced. Bounded: after `kMaxAttempts`, 4.75 s from the request, it
-/// gives up. A new request starts anew.
+/// Calls `reload` on request and retries with backoff while it throws, as the signal may arrive when the file
+/// is only partly written or is just being replaced. Gives up after `kMaxAttempts`, 4.75 s from the request.
+/// A new request restarts the attempts.
 class Reloader {
  public:
   static constexpr std::size_t kMaxAttempts = 13;
   static constexpr core::Millis kFirstRetryDelay{50}, kMaxRetryDelay{500};
 
-  /// Throws what names the fault, and has then changed nothing.
+  /// Throws an exception that describes the fault, and then must not have changed anything.
   using Reload = std::function<void()>;
-  /// Called with the first fault after a request, with each that differs from the one before, and with the
-  /// last, after which there is no further attempt.
+  /// Called with the first fault after a request, with each fault that differs from the previous one, and
+  /// with the fault of the last attempt, for which `last` is true.
   using OnFault = std::function<void(const std::string& fault, bool last)>;
 
   Reloader(net::Loop& loop, Reload reload, OnFault on_fault)
@@ -30,7 +30,7 @@
   Reloader(const Reloader&) = delete;
   Reloader& operator=(const Reloader&) = delete;
 
-  /// Reloads at once.
+  /// Reloads at once; cancels a pending retry.
   void request();
 
  private:
--- a/src/app/signal_pipe.cpp
+++ b/src/app/signal_pipe.cpp
@@ -27,11 +27,11 @@
     case SIGHUP: g_reload = 1; break;
     default: g_terminate = 1; break;
   }
-  // The handler may stand between a failing call and the look at its errno.
+  // The handler may run between a failed system call and the read of its errno.
   const int interrupted_errno = errno;
   const char byte = 0;
   const ssize_t written = write(g_write_fd, &byte, 1);
-  static_cast<void>(written);  // no pipe yet, or it is full: the loop wakes anyway
+  static_cast<void>(written);  // fails if there is no pipe yet or it is full: the loop wakes up all the same
   errno = interrupted_errno;
 }
 
@@ -41,13 +41,13 @@
   return was_set;
 }
 
-// A lack of descriptors in the machine may be over in a moment.
+// Retries while descriptors or memory are short, as such a shortage often lasts only a moment.
 void open_pipe(int ends[2]) {
   for (int attempt = 1; net::system_calls().pipe(ends, O_NONBLOCK | O_CLOEXEC) != 0; ++attempt) {
     const int error = errno;
     const bool is_transient = error == EMFILE || error == ENFILE || error == ENOMEM;
     if (!is_transient || attempt == kPipeAttempts) {
-      throw std::system_error(error, std::generic_category(), "no pipe for signals");
+      throw std::system_error(error, std::generic_category(), "cannot open the signal pipe");
     }
     net::pause_for(kPipeRetryDelay);
   }
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-// The handlers first: a signal that comes before the pipe is there is kept in its flag.
+// The handlers are installed first: a signal that arrives before the pipe is open is kept in its flag.
 SignalPipe::SignalPipe(net::Loop& loop) : loop_(loop) {
   install_handlers();
   int ends[2];
--- a/src/app/signal_pipe.h
+++ b/src/app/signal_pipe.h
@@ -1,4 +1,4 @@
-// Signals as events of the loop.
+/// Delivers signals as events of the loop.
 #pragma once
 
 #include "net/loop.h"
@@ -6,24 +6,26 @@
 
 namespace pathstack::app {
 
-/// Which signals have come since they were last looked at.
+/// The signals received since the last call of `SignalPipe::take`.
 struct Signals {
   bool terminate = false;       // SIGTERM, SIGINT
   bool reload = false;          // SIGHUP
   bool print_counters = false;  // SIGUSR1
 };
 
-/// Takes the signals that an operator sends, and wakes the loop for each through a pipe, as poll(2) alone
-/// could miss one that comes just before it. SIGPIPE is ignored. One instance a process.
+/// Handles the signals that an operator sends, and wakes the loop through a pipe for each (self-pipe):
+/// poll(2) alone would miss a signal that arrives just before the call. SIGPIPE is ignored. At most one
+/// instance per process.
 class SignalPipe final : public net::Handler {
  public:
-  /// Throws std::system_error if there is no descriptor for the pipe for some seconds.
+  /// Throws std::system_error if the pipe cannot be opened. Blocks for up to 3 s while descriptors or memory
+  /// are short.
   explicit SignalPipe(net::Loop& loop);
   ~SignalPipe() override;
   SignalPipe(const SignalPipe&) = delete;
   SignalPipe& operator=(const SignalPipe&) = delete;
 
-  /// The signals since the last call.
+  /// Returns the signals received since the last call, and clears them.
   Signals take();
 
   void ready(short events) override;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The invoker's program: `pathstack-invoker [FILE]`.
+// The entry point of the program `pathstack-invoker [FILE]`.
 #include <cstdlib>
 #include <exception>
 #include <iostream>
@@ -8,8 +8,8 @@
 
 int main(int argument_count, char** arguments) {
   if (argument_count > 2) {
-    std::cerr << "usage: pathstack-invoker [FILE]   the configuration; without it the one that "
-                 "BALANCER_CONFIG names\n";
+    std::cerr << "usage: pathstack-invoker [FILE]\n"
+                 "FILE is the configuration file; the default is the value of BALANCER_CONFIG\n";
     return 2;
   }
   const char* const config_file = argument_count == 2 ? arguments[1] : std::getenv("BALANCER_CONFIG");
