--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -26,8 +26,8 @@
 ///
 /// Clients' calls go from `resp_front_` (RESP) or `amqp_front_` (AMQP) to `dispatcher_`, which asks the
 /// decision module and sends attempts through `connection_pool_`. Lists of hosts come from
-/// `membership_client_` (the change log) or `host_file_` (xDS) and go to `connection_pool_` first, then to
-/// `dispatcher_`.
+/// `membership_client_` (the membership log) or `host_file_` (xDS) and go to `connection_pool_` first, then
+/// to `dispatcher_`.
 class Invoker {
  public:
   /// Reads the configuration file and starts all parts. Throws config::ConfigError, which names the faulty
--- a/tests/invoker/call_references_test.cpp
+++ b/tests/invoker/call_references_test.cpp
@@ -1,4 +1,4 @@
-// The references of calls: each is unique among the open calls and those that ended a short while ago.
+// Uniqueness of call references among the open calls and the recently ended ones.
 #include "core/call_references.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 using core::CallReferences;
 using core::Millis;
 
-TEST_CASE("the reference of an open call is not added again") {
+TEST_CASE("the reference of an open call cannot be added again") {
   CallReferences references;
   CHECK(references.try_add("a"));
   CHECK_FALSE(references.try_add("a"));
@@ -17,7 +17,7 @@
   CHECK(references.size() == 2);
 }
 
-TEST_CASE("the reference of an ended call is forgotten by the first end more than 10 s later") {
+TEST_CASE("the reference of an ended call is removed at the first end of a call more than 10 s later") {
   CallReferences references;
   REQUIRE(references.try_add("a"));
   REQUIRE(references.try_add("b"));
@@ -32,7 +32,7 @@
   CHECK_FALSE(references.try_add("c"));
 }
 
-TEST_CASE("as many references of ended calls are kept as the bound allows, the newest ones") {
+TEST_CASE("references of ended calls are kept up to the bound, the newest ones") {
   CallReferences references;
   REQUIRE(references.try_add("open"));
   constexpr std::size_t calls = CallReferences::kMaxEnded + 3;
--- a/tests/invoker/call_validator_test.cpp
+++ b/tests/invoker/call_validator_test.cpp
@@ -1,4 +1,4 @@
-// Which calls are rejected before they are taken, and for what reason.
+// Which calls the validator rejects, and for which reason.
 #include "core/call_validator.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 using core::Counter;
 
-/// Settings with one tenant and one kind of host, of 3,456 MB.
+// Settings with one tenant and one kind of host with 3,456 MB.
 core::Settings strict_settings() {
   core::Settings s = settings();
   s.tenants.push_back({"redgum-estate", 1, 100});
@@ -36,7 +36,7 @@
   CHECK(validator.find_fault(call) == std::nullopt);
 }
 
-TEST_CASE("an unknown class is named as the fault before any other one") {
+TEST_CASE("an unknown class is reported before any other fault") {
   core::Call call = valid_call();
   call.class_name = "bin-chuck";
   call.tenant = "nobody";
@@ -44,7 +44,7 @@
   CHECK(core::CallValidator(strict_settings()).find_fault(call) == Counter::calls_unknown_class);
 }
 
-TEST_CASE("an unknown tenant is a fault only where the settings name tenants") {
+TEST_CASE("an unknown tenant is a fault only if the settings name tenants") {
   core::Call call = valid_call();
   call.tenant = "nobody";
   CHECK(core::CallValidator(strict_settings()).find_fault(call) == Counter::calls_unknown_tenant);
@@ -53,7 +53,7 @@
   CHECK(core::CallValidator(without_tenants).find_fault(call) == std::nullopt);
 }
 
-TEST_CASE("memory must be a number from zero to that of the largest kind of host") {
+TEST_CASE("memory must be a number between zero and the memory of the largest kind of host") {
   const core::CallValidator validator(strict_settings());
   core::Call call = valid_call();
   for (const double valid : {0.0, 300.0, 3456.0}) {
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("where the memory of hosts is not stated, a call may need up to a million megabytes") {
+TEST_CASE("if the memory of hosts is not stated, a call may need up to a million megabytes") {
   core::Settings s = strict_settings();
   s.kind_memory_mb.clear();
   const bool kind_without_memory = GENERATE(false, true);
@@ -92,7 +92,7 @@
   }
 }
 
-TEST_CASE("a client may wait for more than no time, and up to 50 ms longer than its class's deadline") {
+TEST_CASE("a client timeout must be positive, and at most 50 ms longer than the deadline of the class") {
   const core::Settings s = strict_settings();
   const core::CallValidator validator(s);
   core::Call call = valid_call();
--- a/tests/invoker/clock_test.cpp
+++ b/tests/invoker/clock_test.cpp
@@ -1,4 +1,5 @@
-// Waits and windows are spans of real time, whatever the wall clock says.
+// Reading of the xDS file: intervals are measured by the monotonic clock, so that jumps of the wall clock
+// have no effect.
 #include <fcntl.h>
 #include <sys/stat.h>
 
@@ -25,7 +26,7 @@
          std::to_string(port) + "}}}}]}]}";
 }
 
-// Gives a file the times that a writer would leave whose wall clock is off by so many seconds.
+// Sets the file times that a writer would leave whose wall clock is `offset_s` seconds off `at`.
 void set_times(const std::string& path, const timespec& at, long offset_s) {
   timespec shifted = at;
   shifted.tv_sec += offset_s;
@@ -33,7 +34,9 @@
   REQUIRE(utimensat(AT_FDCWD, path.c_str(), times, 0) == 0);
 }
 
-TEST_CASE("an xDS file written twice under one stamp is read again, whatever wall clock the stamp is of") {
+TEST_CASE(
+    "an xDS file written twice with one timestamp is read again, however far the wall clock of its writer is "
+    "off") {
   for (const long offset_s : {-3600L, -5L, 0L, 5L, 3600L}) {
     CAPTURE(offset_s);
     net::Loop loop;
@@ -55,7 +58,7 @@
   }
 }
 
-// The number of reads in 60 s of looks every half second, of a file whose stamp stays as it is.
+// Returns how often a file with an unchanged timestamp is read within 60 s, if it is checked every 0.5 s.
 int count_reads(xds::FileWatch& watch, Millis start, bool succeeds) {
   int reads = 0;
   for (Millis now = start; now < start + Millis(60000); now += Millis(500)) {
@@ -66,14 +69,14 @@
   return reads;
 }
 
-TEST_CASE("a file that stays as it is is read for a settling time, and then no more") {
+TEST_CASE("an unchanged file is read during the settling time only") {
   for (const double start : {0.0, -kHourMs, kHourMs}) {
     xds::FileWatch watch;
     CHECK(count_reads(watch, Millis(start), true) == 5);  // at 0, 0.5, 1, 1.5 and 2 s
   }
 }
 
-TEST_CASE("a file is read once more when its settling time has passed, however late the look") {
+TEST_CASE("a file is read once more after its settling time, however late the check is") {
   xds::FileWatch watch;
   CHECK(watch.needs_reading("a", Millis(0)));
   watch.read_done(true, Millis(0));
@@ -85,17 +88,17 @@
   CHECK(watch.changed());
 }
 
-TEST_CASE("a reading that failed is repeated with backoff, for as long as it fails") {
+TEST_CASE("a failed read is repeated with backoff until it succeeds") {
   xds::FileWatch watch;
-  // 5 in the settling time, then after pauses of 0.5, 1, 2, 4 and then 8 s.
+  // 5 in the settling time, then after delays of 0.5, 1, 2, 4 and then 8 s each.
   CHECK(count_reads(watch, Millis(0), false) == 15);
   CHECK(watch.needs_reading("1 100 5 0", Millis(kHourMs)));
   watch.read_done(true, Millis(kHourMs));
   CHECK_FALSE(watch.needs_reading("1 100 5 0", Millis(2 * kHourMs)));
 }
 
-// An exception of the stream library left the loop, and with it the program.
-TEST_CASE("an xDS file that fails to be read leaves the list in force, and is read once it can be") {
+// Regression: an exception of the stream library left the loop and ended the program.
+TEST_CASE("an unreadable xDS file leaves the list in force, and is read once it is readable") {
   net::Loop loop;
   core::Counters counters;
   const TemporaryPath path;
@@ -123,7 +126,7 @@
   CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
 }
 
-TEST_CASE("an xDS file that breaks off at any byte changes nothing") {
+TEST_CASE("an xDS file that is cut off at any byte changes nothing") {
   net::Loop loop;
   core::Counters counters;
   const TemporaryPath path;
--- a/tests/invoker/core_test.cpp
+++ b/tests/invoker/core_test.cpp
@@ -1,4 +1,4 @@
-// A request's life, under a clock and hosts that the test plays itself.
+// The dispatcher and the shutdown times, with a simulated clock, hosts and front.
 #include <catch2/catch.hpp>
 #include <cmath>
 
@@ -10,7 +10,8 @@
 namespace pathstack::test {
 namespace {
 
-// Hosts that only note; a front that only counts. Both check the rules on whatever reaches them.
+// Hosts that record attempts and load orders, and a front that records answers. Both check the rules for
+// each of them.
 struct RecordingPeers final : core::Hosts, core::Front {
   struct SentAttempt {
     std::string body, host;
@@ -82,14 +83,16 @@
   }
 };
 
-TEST_CASE("a shutdown answers all before the earliest SIGKILL, and not before the requests have stopped") {
+TEST_CASE(
+    "a shutdown answers all calls before the earliest SIGKILL, and not before requests have stopped "
+    "arriving") {
   const Millis deadline{GENERATE(300.0, 1500.0, 3000.0, 7000.0)}, sigterm{5000};
   const Millis sigkill = sigterm + std::min(deadline, Millis(3000)) + Millis(700);
   core::Shutdown shutdown(deadline);
   CHECK((shutdown.accepts_connections(sigterm) && !shutdown.final_answers_due(Millis(1e9)) &&
          !shutdown.must_exit(Millis(1e9))));
   shutdown.start(sigterm);
-  shutdown.start(sigterm + Millis(400));  // a second SIGTERM gives no more time
+  shutdown.start(sigterm + Millis(400));  // a second SIGTERM does not extend the time
   CHECK((shutdown.accepts_connections(sigterm + Millis(450)) &&
          shutdown.accepts_requests(sigterm + Millis(700))));
   CHECK_FALSE(shutdown.final_answers_due(sigterm + Millis(700)));
@@ -97,7 +100,8 @@
 }
 
 TEST_CASE(
-    "whatever hosts do, a call has one answer in time, one attempt out and no second run of a bin-record") {
+    "whatever hosts do, a call gets one answer in time, has one open attempt at most, and a bin-record never "
+    "runs twice") {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     Random random(seed);
     DispatcherFixture fixture(3);
@@ -156,7 +160,7 @@
   }
 }
 
-TEST_CASE("what no host can use, or comes under a ref not its own, is not taken, by whichever front") {
+TEST_CASE("an invalid call and a call with a reference in use are not taken") {
   core::Settings s = settings();
   s.tenants.push_back({"redgum-estate", 1, 100});
   s.kind_memory_mb["std-2c"] = 3456;
@@ -174,7 +178,7 @@
   CHECK(takes([](core::Call&) {}));
   CHECK(takes([](core::Call& c) { c.ref = "same"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.ref = "same"; }));
-  fixture.advance(Millis(1100));  // that call has ended, but a host may still answer it
+  fixture.advance(Millis(1100));  // the call has ended, but a host may still answer it
   CHECK_FALSE(takes([](core::Call& c) { c.ref = "same"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.class_name = "bin-chuck"; }));
   CHECK_FALSE(takes([](core::Call& c) { c.tenant = "nobody"; }));
@@ -192,9 +196,9 @@
   CHECK(fixture.counters.value(core::Counter::calls_bad_figures) == 8);
 }
 
-// Failure found on a calm day on real sockets: first calls with allow=2003 under a deadline of 2,000 ms were
-// answered FAILED. Time limits grow by 50 ms on sockets.
-TEST_CASE("a call is taken whose client waits up to 50 ms longer than its class's deadline") {
+// Regression: over sockets, a call with allow=2003 and a class deadline of 2,000 ms was answered FAILED. Time
+// limits grow by 50 ms on sockets.
+TEST_CASE("a call is taken if its client waits up to 50 ms longer than the deadline of its class") {
   DispatcherFixture fixture(1, settings());
   fixture.call("bin-check", "early", Millis(1503));
   fixture.call("bin-check", "earliest", Millis(1550));
@@ -203,8 +207,8 @@
   CHECK(fixture.peers.attempts.size() == 2);
 }
 
-// Failure found in review: settings that name kinds of hosts and not their memory had every call failed.
-TEST_CASE("calls are taken where the memory of a kind of host is not stated") {
+// Regression: with settings that name kinds of hosts without their memory, every call failed.
+TEST_CASE("calls are taken if the memory of a kind of host is not stated") {
   core::Settings s = settings();
   s.kind_memory_mb["std"] = 0;
   DispatcherFixture fixture(1, s);
@@ -214,7 +218,7 @@
   CHECK(fixture.peers.attempts.begin()->first.call == id);
 }
 
-TEST_CASE("a call for which there is no host is answered by its deadline") {
+TEST_CASE("a call is answered by its deadline if there are no hosts") {
   DispatcherFixture fixture(0);
   const auto id = fixture.call("bin-record", "r");
   fixture.advance(Millis(1016));
--- a/tests/invoker/counters_test.cpp
+++ b/tests/invoker/counters_test.cpp
@@ -1,4 +1,4 @@
-// Counters: what the log says of them, and that the README describes each one.
+// Log output of the counters, and their table in README.md.
 #include "core/counters.h"
 
 #include <catch2/catch.hpp>
@@ -11,13 +11,13 @@
 
 using core::Counter;
 
-TEST_CASE("the README holds the table of all counters") {
+TEST_CASE("README.md contains the table of all counters") {
   std::ifstream file(PATHSTACK_README);
   const std::string readme{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   CHECK(readme.find(core::counter_table()) != std::string::npos);
 }
 
-TEST_CASE("a status line tells what was counted since the last one, and present values as they are") {
+TEST_CASE("a status line contains the growth since the previous one, and present values as they are") {
   core::Counters counters;
   CHECK(counters.status({{"now.held", 3}}).empty());
   counters.add(Counter::calls_taken, 2);
@@ -29,7 +29,7 @@
         "status calls.taken=1 orders.sent=1 now.held=3");
 }
 
-TEST_CASE("the lines of all counters leave out those that are 0") {
+TEST_CASE("counters that are 0 have no line") {
   core::Counters counters;
   counters.add(Counter::resp_cancels, 7);
   counters.add(Counter::amqp_down);
--- a/tests/invoker/event_log_test.cpp
+++ b/tests/invoker/event_log_test.cpp
@@ -1,4 +1,4 @@
-// Lines of single events, and that too many of them are dropped.
+// Format and rate limit of event lines.
 #include "core/event_log.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 namespace pathstack::test {
 
-TEST_CASE("events are lines of key and value, bounded in number and counted past that") {
+TEST_CASE("events are lines of key=value fields; lines above the rate limit are dropped and counted") {
   core::Counters counters;
   std::vector<std::string> lines;
   core::Millis now(1500);
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -1,4 +1,4 @@
-// System calls that fail for a moment, over real connections.
+// Behaviour on transient failures of system calls, with real connections.
 #include <signal.h>
 
 #include <array>
@@ -19,13 +19,13 @@
 namespace pathstack::test {
 namespace {
 
-constexpr int kMaxTurns = 300;  // of 20 ms at most: 6 s
+constexpr int kMaxTurns = 300;  // of at most 20 ms each: 6 s
 
-// The kernel's calls, of which the next ones fail with the given errors.
+// System calls that fail with the queued errors first and then reach the kernel.
 class FailingCalls final : public net::SystemCalls {
  public:
   std::deque<int> accept_errors;
-  int lasting_accept_error = 0;  // of all further accepts, unless 0
+  int lasting_accept_error = 0;  // of all accepts after the queued errors; 0: none
   std::deque<int> socket_errors, bind_errors, listen_errors, connect_errors, pipe_errors, poll_errors;
   int lasting_poll_error = 0;
   int accepts = 0, polls = 0, pipes = 0, connects = 0, sleeps = 0;
@@ -80,7 +80,7 @@
   }
 };
 
-// The front of an invoker whose system calls fail as a test asks.
+// The front of an invoker whose system calls fail as the test sets.
 struct FrontUnderFaults {
   explicit FrontUnderFaults(std::size_t hosts = 0) : world(hosts) { REQUIRE(front.listen("127.0.0.1:0")); }
   World world;
@@ -89,7 +89,7 @@
   net::ScopedSystemCalls scope{calls};
 };
 
-// A client that sends one request, CHECK by default.
+// A client that sends one request on connecting, by default CHECK.
 class CheckingClient final : public net::Stream {
  public:
   explicit CheckingClient(FrontUnderFaults& server,
@@ -100,7 +100,7 @@
     write(request);
   }
   bool answered() const { return !answers_.empty(); }
-  // Of the first answer.
+  // The status word of the first answer.
   const std::string& word() const { return answers_.at(0).at(1); }
 
  private:
@@ -111,7 +111,7 @@
   void ended() override {}
 };
 
-TEST_CASE("a shortage of descriptors or memory while no client is connected ends with a later accept") {
+TEST_CASE("after a shortage of descriptors or memory while no client is connected, a later accept succeeds") {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     FrontUnderFaults server;
@@ -122,20 +122,20 @@
   }
 }
 
-TEST_CASE("a lasting shortage of descriptors is retried with a backoff, at a bounded cost") {
+TEST_CASE("accepting during a lasting shortage of descriptors is retried with backoff, at a bounded cost") {
   FrontUnderFaults server;
   server.calls.lasting_accept_error = ENFILE;
   CheckingClient client(server);
   const Millis end = server.world.loop.now() + Millis(600);
   while (server.world.loop.now() < end) server.world.turn();
-  // After 5, 15, 35 ms and then each 20 ms, none sooner.
+  // Retries come after 5, 15 and 35 ms, then every 20 ms, and none earlier.
   CHECK(server.calls.accepts >= 2);
   CHECK(server.calls.accepts <= 32);
   server.calls.lasting_accept_error = 0;
   CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
 }
 
-// The time that a client waits counts from its last byte, also while its connection waits to be accepted.
+// The client's time counts from its last byte, also while its connection waits to be accepted.
 TEST_CASE("a call that waited for its connection to be accepted has that much less time") {
   const Millis wait{200};
   FrontUnderFaults server(1);
@@ -165,7 +165,8 @@
   }
 }
 
-TEST_CASE("an accept that fails with the connection's own error is followed by the next in the same turn") {
+TEST_CASE(
+    "an accept that fails with an error of the connection is followed by the next one in the same turn") {
   const std::array<int, 12> errors{EINTR,        ECONNABORTED, EPROTO,      EPERM,
                                    ENETDOWN,     ENOPROTOOPT,  EHOSTDOWN,   ENONET,
                                    EHOSTUNREACH, EOPNOTSUPP,   ENETUNREACH, ETIMEDOUT};
@@ -173,12 +174,13 @@
   server.calls.accept_errors.assign(errors.begin(), errors.end());
   CheckingClient client(server);
   REQUIRE(server.world.turn_until([&] { return server.calls.accepts > 0; }, kMaxTurns));
-  CHECK(server.calls.accepts == static_cast<int>(errors.size()) + 2);  // the client, and none waiting
+  // One more accept takes the client, and another one finds no connection.
+  CHECK(server.calls.accepts == static_cast<int>(errors.size()) + 2);
   CHECK(server.world.counters.value(core::Counter::resp_accept_failed) == errors.size());
   CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
 }
 
-TEST_CASE("accepts that fail again and again are bounded in a turn") {
+TEST_CASE("the number of failing accepts in one turn is bounded") {
   FrontUnderFaults server;
   server.calls.lasting_accept_error = ECONNABORTED;
   CheckingClient client(server);
@@ -188,7 +190,7 @@
   CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
 }
 
-TEST_CASE("connections that wait when listening ends are served though accepts fail") {
+TEST_CASE("connections in the backlog when listening ends are served even if accepts fail") {
   for (const int error : {ECONNABORTED, EINTR, ENFILE, ENOMEM}) {
     CAPTURE(error);
     FrontUnderFaults server;
@@ -204,7 +206,7 @@
   }
 }
 
-TEST_CASE("a failed call for the listener is reported by its error, transient or lasting") {
+TEST_CASE("a failure to open the listener is reported with its error, transient or permanent") {
   FailingCalls calls;
   const net::ScopedSystemCalls scope(calls);
   calls.socket_errors = {ENFILE};
@@ -227,7 +229,7 @@
   for (const int error : {EACCES, EINVAL, EAFNOSUPPORT, EPROTONOSUPPORT}) CHECK_FALSE(is_transient(error));
 }
 
-TEST_CASE("a front whose listener failed to open can listen later") {
+TEST_CASE("a front whose listener could not be opened can listen later") {
   World world(0);
   resp::Front front(world.loop, world.pool, world.dispatcher, world.counters, {});
   FailingCalls calls;
@@ -239,7 +241,7 @@
   CHECK_FALSE(front.listen_error());
 }
 
-TEST_CASE("a poll that fails for want of memory does not spin, and timers still fire") {
+TEST_CASE("a poll that fails with ENOMEM or EINVAL does not spin, and timers still fire") {
   for (const int error : {ENOMEM, EINVAL}) {
     CAPTURE(error);
     net::Loop loop;
@@ -251,12 +253,12 @@
     loop.at(due, [&] { fired = true; });
     while (!fired && calls.polls < 1000) loop.turn(due + Millis(60000), [] {});
     CHECK(fired);
-    CHECK(calls.polls <= 20);  // a pause of 10 ms each
+    CHECK(calls.polls <= 20);  // each is followed by a pause of 10 ms
     CHECK(calls.sleeps == calls.polls);
   }
 }
 
-TEST_CASE("a poll that a signal interrupts is followed by the next at once") {
+TEST_CASE("a poll that is interrupted by a signal is repeated at once") {
   FrontUnderFaults server;
   CheckingClient client(server);
   server.calls.poll_errors.assign(200, EINTR);
@@ -265,7 +267,7 @@
   CHECK(server.world.turn_until([&] { return client.answered(); }, kMaxTurns));
 }
 
-// The signal's action at the end is that of the start.
+// Restores the actions of all signals that the program handles.
 class ScopedSignalActions {
  public:
   ScopedSignalActions() {
@@ -282,7 +284,8 @@
   std::array<struct sigaction, 5> previous_{};
 };
 
-TEST_CASE("a shortage of descriptors for a moment at the start is waited for; signals work after it") {
+TEST_CASE(
+    "a transient shortage of descriptors at the start delays the signal pipe; signals work afterwards") {
   const ScopedSignalActions actions;
   net::Loop loop;
   FailingCalls calls;
@@ -296,7 +299,7 @@
   CHECK(signals.take().reload);
 }
 
-TEST_CASE("a pipe for signals that cannot be opened for another reason ends the start, named") {
+TEST_CASE("a permanent error of the signal pipe ends the start with an exception that names it") {
   const ScopedSignalActions actions;
   net::Loop loop;
   FailingCalls calls;
@@ -306,7 +309,7 @@
   CHECK(calls.pipes == 1);
 }
 
-TEST_CASE("a signal leaves errno to the code that it interrupts") {
+TEST_CASE("a signal handler preserves errno of the interrupted code") {
   constexpr int kPipeBytes = 1 << 16;  // the kernel's default: further writes fail
   const ScopedSignalActions actions;
   net::Loop loop;
@@ -317,7 +320,7 @@
   CHECK(signals.take().print_counters);
 }
 
-TEST_CASE("a connect to the change log that fails here for a moment is retried with a backoff") {
+TEST_CASE("a transient local failure to connect to the membership log is retried with backoff") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -335,7 +338,7 @@
   for (int i = 0; i < kMaxTurns && events < log.events; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(events == log.events);
   CHECK(calls.connects >= 3);
-  CHECK((loop.now() - started).count() >= 25 + 50 + 100);  // the least pauses with jitter: none is left out
+  CHECK((loop.now() - started).count() >= 25 + 50 + 100);  // the shortest delays with jitter: none is skipped
 }
 
 }  // namespace
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: started, signalled, asked over loopback.
+// The program as a process: start, signals and calls over loopback.
 #include <fcntl.h>
 #include <poll.h>
 #include <spawn.h>
@@ -25,7 +25,7 @@
 
 constexpr Millis kMaxWait{20000};
 
-// A file that goes with its owner.
+// A file that is removed with this object.
 class TemporaryFile {
  public:
   TemporaryFile() {
@@ -43,7 +43,7 @@
   std::string path_;
 };
 
-// The program as a deployment starts it. Ends with its owner, whatever state it is in.
+// The program as a deployment starts it. The destructor kills it if it still runs.
 class Process {
  public:
   explicit Process(const std::string& config) {
@@ -66,7 +66,7 @@
     if (pid_ > 0) waitpid(pid_, nullptr, 0);
   }
   void send_signal(int signal) const { REQUIRE(kill(pid_, signal) == 0); }
-  // Leaves its output no more room than the system allows; it is read by `log` alone.
+  // Shrinks the pipe of its output to the minimum that the system allows. Only `output` reads the pipe.
   void shrink_output() const { REQUIRE(fcntl(output_.fd(), F_SETPIPE_SZ, 1) > 0); }
   int unread_output() const {
     int bytes = 0;
@@ -79,7 +79,7 @@
       text_.append(bytes, static_cast<std::size_t>(got));
     return text_;
   }
-  // Its exit status, once it has ended by itself.
+  // The exit status once the program has ended, 128 plus the number of the signal that ended it.
   std::optional<int> exit_status() {
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -96,6 +96,7 @@
   std::optional<int> status_;
 };
 
+// The program with one host, a membership log and its configuration.
 struct ProcessFixture {
   net::Loop loop;
   net::BufferPool pool{256};
@@ -105,7 +106,7 @@
   nlohmann::json config;
   std::optional<Process> program;
 
-  // The log is in reach, as a list that cannot be confirmed would keep the program from using the host.
+  // The membership log is reachable, as the program would not use the host while its list is not confirmed.
   explicit ProcessFixture(double deadline) {
     log.events = 1;
     log.stays_open = true;
@@ -129,7 +130,7 @@
         {"FamilyInfo", {{"OnMiss", "load"}, {"LingerIdle", 9000}}},
         {"Rules", {{"GraceToAnswer", 8}, {"DrainGrace", 250}}}};
   }
-  // Starts it and gives the address on which it listens.
+  // Starts the program and returns the address on which it listens.
   std::string start() {
     file.write(config);
     program.emplace(file.path());
@@ -151,7 +152,7 @@
  private:
   Millis next_send_{0};
 
-  // As the log does each second.
+  // Sends the last sequence number each second, as the membership log does.
   void send_sequence_number() {
     if (loop.now() < next_send_) return;
     next_send_ = loop.now() + Millis(1000);
@@ -180,8 +181,8 @@
   void ended() override { closed = true; }
 };
 
-// Failure found in review: known events that cannot be read were passed over, and never asked for.
-TEST_CASE("known events that cannot be read are asked of the change log") {
+// Regression: known events that cannot be read were skipped and never requested.
+TEST_CASE("known events that cannot be read are requested from the membership log") {
   ProcessFixture fixture(1000);
   StandInLog log(fixture.loop, fixture.pool);
   fixture.config["changelog"] = log.server.address();
@@ -192,7 +193,7 @@
   CHECK(log.asked.front() == 1);
 }
 
-TEST_CASE("a configuration that names many hosts is read, and a host among them is used") {
+TEST_CASE("a configuration with many hosts is read, and a host from it is used") {
   ProcessFixture fixture(1000);
   auto& members = fixture.config["known"]["results"][0]["fleet"]["members"];
   for (int i = 1; i <= 5000; ++i) {
@@ -206,8 +207,8 @@
   CHECK(fixture.program->output().find("known:") == std::string::npos);
 }
 
-// Failure found in review: a log that nobody read stopped the event loop, and with it all calls.
-TEST_CASE("a log that nobody reads stops no call; the lines dropped are counted") {
+// Regression: output that nobody read blocked the event loop, and with it all calls.
+TEST_CASE("output that nobody reads blocks no call; dropped lines are counted") {
   ProcessFixture fixture(1000);
   const std::string address = fixture.start();
   Client first(fixture, address);
@@ -218,7 +219,7 @@
     const Millis until = fixture.loop.now() + Millis(span);
     while (fixture.loop.now() < until) fixture.loop.turn(until, [] {});
   };
-  // All counters are logged again and again, until what waits to be read grows no more.
+  // Makes the program log all counters until the unread output stops growing.
   for (int unread = -1; fixture.program->unread_output() > unread;) {
     unread = fixture.program->unread_output();
     fixture.program->send_signal(SIGUSR1);
@@ -230,7 +231,8 @@
   REQUIRE(fixture.turn_until([&] { return !client.replies.empty() || client.closed; }));
   REQUIRE(client.replies.size() == 1);
   CHECK(client.replies[0].at(1) == "OK");
-  // Far more than the pipe and the program keep. Once somebody reads, it goes on and tells what was lost.
+  // Causes far more output than the pipe and the program can buffer. Once the output is read, the program
+  // writes again and reports the dropped lines.
   for (int i = 0; i < 1500; ++i) {
     fixture.program->send_signal(SIGUSR1);
     wait(1);
@@ -241,10 +243,9 @@
   }));
 }
 
-// Failure found (roll+mass): two in three invokers were killed with calls open, as each waited for its
-// longest deadline, while SIGKILL may come 3.7 s after SIGTERM.
-TEST_CASE(
-    "signalled to end, the program answers what is open before SIGKILL may come, however long its deadline") {
+// Regression, found in the scenario roll+mass: two in three invokers were killed with open calls, as each
+// waited for its longest deadline, while SIGKILL may follow 3.7 s after SIGTERM.
+TEST_CASE("after SIGTERM, open calls are answered before SIGKILL may follow, however long their deadline") {
   ProcessFixture fixture(9000);
   fixture.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   Client client(fixture, fixture.start());
@@ -261,7 +262,7 @@
   CHECK(fixture.host.drops == 1);
 }
 
-// Starts a program whose address is in use, and waits until it has said so.
+// Starts a program whose address is in use, and waits until it has reported that.
 void start_with_address_in_use(ProcessFixture& fixture, const net::Socket& holder) {
   fixture.config["listen"] = net::bound_address(holder);
   fixture.file.write(fixture.config);
@@ -270,7 +271,7 @@
   REQUIRE(fixture.turn_until([&] { return fixture.program->output().find(fault) != std::string::npos; }));
 }
 
-TEST_CASE("an address that is in use for a moment at the start is retried until it is free") {
+TEST_CASE("listening on an address in use is retried until the address is free") {
   ProcessFixture fixture(1000);
   net::Socket holder = net::listen_on("127.0.0.1:0").socket;
   const std::string address = net::bound_address(holder);
@@ -288,7 +289,8 @@
   CHECK(client.replies[0].at(1) == "OK");
 }
 
-TEST_CASE("an address that stays in use ends the start with its name; SIGTERM ends the wait for it") {
+TEST_CASE(
+    "an address that stays in use ends the program with an error that names it; SIGTERM ends the retries") {
   ProcessFixture fixture(1000);
   const net::Socket holder = net::listen_on("127.0.0.1:0").socket;
   start_with_address_in_use(fixture, holder);
@@ -306,8 +308,8 @@
   }
 }
 
-// A client that has more bytes of health checks on their way than the program reads of a connection in a
-// turn, and fewer than it discards at the end. It goes on until the connection ends.
+// A client that keeps more bytes of health checks in flight than the program reads from a connection in one
+// turn, and fewer than the program discards at shutdown. It sends until the connection ends.
 class BusyClient {
  public:
   enum class State { open, closed_in_order, reset };
@@ -316,14 +318,14 @@
   }
   State state() const { return state_; }
   std::size_t answered() const { return answered_; }
-  // The word of the answer under the tag of the first request, which no health check has.
+  // The status of the answer to the first request, whose tag is used by no health check.
   const std::string& first_status() const { return first_status_; }
   void turn() {
     if (state_ != State::open) return;
     while (sent_ - answered_ < kWindow) {
       resp::write_array(unsent_, {"CHECK", std::to_string(2 + sent_++), padding_});
     }
-    // Until nothing more fits between the two.
+    // Sends until the socket buffers are full.
     for (ssize_t sent = 1; sent > 0 && !unsent_.empty();) {
       sent = ::send(socket_.fd(), unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
       if (sent > 0) unsent_.erase(0, static_cast<std::size_t>(sent));
@@ -362,9 +364,8 @@
   }
 };
 
-// Failure found in review: the exit closed connections with input unread, which resets them.
-TEST_CASE(
-    "signalled to end, the program closes no connection by a reset, though its client goes on sending") {
+// Regression: the exit closed connections with unread input, which resets them.
+TEST_CASE("after SIGTERM, no connection is reset, even if its client goes on sending") {
   ProcessFixture fixture(1000);
   fixture.host.react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   const std::string address = fixture.start();
@@ -380,7 +381,8 @@
   fixture.program->send_signal(SIGTERM);
   REQUIRE(fixture.turn_until([&] {
     client.turn();
-    fixture.loop.at(fixture.loop.now(), [] {});  // the loop does not wait, so that input is always on its way
+    fixture.loop.at(fixture.loop.now(),
+                    [] {});  // keeps the loop from waiting, so that input is always in flight
     return fixture.program->exit_status().has_value();
   }));
   CHECK((fixture.loop.now() - signal_time).count() < 1700);
--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -1,4 +1,4 @@
-// A few hundred calls over loopback under random faults of system calls, with every rule checked.
+// Checks all rules for a few hundred calls over loopback while system calls fail at random.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <list>
@@ -23,13 +23,13 @@
 
 constexpr std::size_t kHosts = 4, kClients = 6, kCalls = 300;
 constexpr Millis kMinClientTimeout{100}, kClientTimeoutSpread{700};
-constexpr Millis kMaxTimeAfterCancel{100};   // an attempt may begin so long after its client has gone
-constexpr Millis kTimeoutSlack{150};         // a host may get a time-out longer than the client's by so much
-constexpr Millis kSocketSlack{50};           // every other limit grows by so much on sockets
-constexpr Millis kLateAnswerTime{300};       // watched for so long once all is answered
-constexpr std::uint64_t kCrossingPolls = 5;  // what was written before is read by then
+constexpr Millis kMaxTimeAfterCancel{100};   // an attempt may start this long after its client left
+constexpr Millis kTimeoutSlack{150};         // a host's time-out may exceed the client's by this
+constexpr Millis kSocketSlack{50};           // added to all other limits on sockets
+constexpr Millis kLateAnswerTime{300};       // time for late answers after all calls are answered
+constexpr std::uint64_t kCrossingPolls = 5;  // after this many polls, earlier writes have been read
 constexpr Millis kCrossingTime{10};
-constexpr Millis kMaxRunTime{20000}, kMaxCheckTime{3000};  // limits on waits
+constexpr Millis kMaxRunTime{20000}, kMaxCheckTime{3000};  // limits on waits of the test
 
 core::Settings settings_of_all_semantics() {
   core::Settings s = settings();
@@ -42,7 +42,8 @@
   return s;
 }
 
-/// An invoker's parts with clients and hosts, all on one loop; the invoker's system calls fail.
+/// The parts of an invoker with clients and hosts, all on one loop. System calls of the invoker fail at
+/// random.
 class Session {
  public:
   explicit Session(std::uint64_t seed)
@@ -62,14 +63,14 @@
     hosts_.back()->server.stop();  // refuses connections
   }
 
-  /// Plays all calls to their end. False if that was not reached in the time allowed.
+  /// Runs until all calls have ended. False if that takes longer than `kMaxRunTime`.
   bool run() {
     const net::ScopedSystemCalls faults(*calls_);
     if (!turn_until([this] { return calls_made_ == kCalls && all_settled(); }, kMaxRunTime)) return false;
     turn_until([] { return false; }, kLateAnswerTime);
     return true;
   }
-  /// True if a client that connects now is answered.
+  /// True if a client that connects now gets an answer.
   bool serves_new_client() {
     const net::ScopedSystemCalls faults(*calls_);
     CallClient& client = connect_client();
@@ -124,7 +125,7 @@
         [this] { return std::make_shared<CallClient>(loop_, buffers_, book_, now_, front_.address()); }));
     return *clients_.back();
   }
-  // Clients act between reads and writes, so that what they say leaves in the same turn.
+  // Clients act between the reads and the writes of a turn, so that their requests are sent in the same turn.
   template <typename Until>
   bool turn_until(const Until& until, Millis most) {
     const Millis limit = clock_.now() + most;
@@ -177,7 +178,7 @@
   for (const auto& [ref, call] : book.calls) {
     if (call.answers.size() > 1) found.push_back(describe(call, "answered more than once"));
     if (call.withdrawn || call.answers.size() == 1) continue;
-    if (call.cut_off) found.push_back(describe(call, "its connection was closed with no answer"));
+    if (call.cut_off) found.push_back(describe(call, "its connection was closed without an answer"));
     if (!call.cut_off && call.answers.empty()) found.push_back(describe(call, "never answered"));
   }
   return found;
@@ -194,7 +195,7 @@
   return found;
 }
 
-// An answer may cross with the cancellation.
+// An answer sent before the invoker has read the cancellation is no violation.
 Violations answers_after_cancellation(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
@@ -211,10 +212,10 @@
   for (const auto& [ref, call] : book.calls) {
     for (const auto& answer : call.answers) {
       if (answer.words.size() < 2) {
-        found.push_back(describe(call, "an answer of one word"));
+        found.push_back(describe(call, "an answer with fewer than two words"));
       } else if (answer.words[1] == "OK" &&
                  (answer.words.size() != 4 || call.bodies_given.count(answer.words[3]) == 0)) {
-        found.push_back(describe(call, "served with a body that no host gave"));
+        found.push_back(describe(call, "served with a body that no host sent"));
       }
     }
   }
@@ -247,7 +248,8 @@
   return found;
 }
 
-// A drop and the next attempt go over different connections: the drop may be read a moment later.
+// A cancellation and the next attempt use different connections: hosts may read the cancellation later, by at
+// most `kCrossingPolls` polls or `kCrossingTime`.
 Violations overlapping_attempts(const CallBook& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
@@ -257,7 +259,7 @@
       const bool ended_in_time =
           over && (over->poll <= next.poll + kCrossingPolls || over->at <= next.at + kCrossingTime);
       if (!ended_in_time) {
-        found.push_back(describe(call, "sent again while attempt " + std::to_string(i) + " was out"));
+        found.push_back(describe(call, "sent again while attempt " + std::to_string(i) + " was open"));
       }
     }
   }
@@ -288,7 +290,7 @@
   return found;
 }
 
-// What nobody waits for is given up: dropped, or its connection closed.
+// The attempt of a call whose client left must be ended: cancelled at the host, or its connection closed.
 Violations attempts_kept_after_cancellation(const CallBook& book) {
   Violations found;
   const Millis most = kMaxTimeAfterCancel + kSocketSlack + TurnClock::kLongestTurn;
@@ -308,15 +310,15 @@
     for (const auto& attempt : call.attempts) {
       const Millis left = call.sent.at + call.allow - attempt.came.at;
       if (attempt.timeout > left + kTimeoutSlack) {
-        found.push_back(describe(call, "a host got a time-out of " + to_ms_text(attempt.timeout) + " with " +
-                                           to_ms_text(left) + " left to the client"));
+        found.push_back(describe(call, "a host received a time-out of " + to_ms_text(attempt.timeout) +
+                                           " with " + to_ms_text(left) + " left to the client"));
       }
     }
   }
   return found;
 }
 
-// Among the answers; 0 without any.
+// The share of answers that are OK; 0 without answers.
 double share_served(const CallBook& book) {
   std::size_t answers = 0, served = 0;
   for (const auto& [ref, call] : book.calls) {
@@ -350,7 +352,7 @@
   CHECK(timeouts_longer_than_the_clients(book) == none);
   CHECK(session.open_in_invoker() == 0);
   CHECK(session.serves_new_client());
-  // The faults were there, and calls were served in spite of them.
+  // Every kind of fault occurred, and calls were served despite them.
   const auto& faults = session.faults();
   CHECK((faults.accept > 0 && faults.socket > 0 && faults.connect > 0 && faults.poll > 0));
   CHECK((faults.interrupted > 0 && faults.cut_short > 0 && faults.broken > 0));
--- a/tests/invoker/support/call.h
+++ b/tests/invoker/support/call.h
@@ -1,4 +1,4 @@
-// A call that any test can send to a host of the test settings.
+/// A valid call for tests with the settings of support/settings.h.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace pathstack::test {
 
-/// A valid call of a repeatable class under `ref`, which is its body, too. `allow` is how long its client
-/// waits from `arrived` on; attempts sent without the dispatcher need neither.
+/// Returns a valid call of a repeatable class with reference and body `ref`. `allow` is how long its client
+/// waits, from `arrived`; attempts that are sent without the dispatcher need neither.
 inline core::Call call_of(const std::string& ref, core::Millis arrived = core::Millis(0),
                           core::Millis allow = core::Millis(0)) {
   core::Call call;
--- a/tests/invoker/support/faulty_calls.h
+++ b/tests/invoker/support/faulty_calls.h
@@ -1,4 +1,4 @@
-// System calls that fail at random, for the invoker's sockets alone.
+/// System calls that fail at random, for the sockets of the invoker only.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,19 +16,20 @@
 
 namespace pathstack::test {
 
-/// Fails calls of the invoker's as Linux documents it, from a seed, and passes all others to the kernel. The
-/// invoker's are distinguished from those of the stand-ins in its process by their descriptors: connections
-/// that were accepted on the front's port, and those that were opened outside `spare`. The first call of each
-/// kind fails, so that no run goes without: the first accept does so while no client is connected whose end
-/// could bring another try.
+/// Makes calls of the invoker fail at random from a seed, with errors that Linux documents, and passes all
+/// other calls to the kernel. The invoker shares the process with stand-ins; its sockets are those accepted
+/// on the front's port and those opened outside `without_faults`. The first call of each kind always fails,
+/// so that every run has each fault. The first accept fails while no client is connected, so that no end of a
+/// connection can trigger a retry of it.
 class FaultyCalls final : public net::SystemCalls {
  public:
-  /// Chances in a thousand.
+  /// Probabilities per mille.
   struct Rates {
     unsigned accept = 150, socket = 150, connect = 150, poll = 40;
     unsigned interrupted = 30, cut_short = 100;  // of reads and writes
     unsigned broken = 5;                         // of reads and writes on connections to hosts
   };
+  /// The number of calls that failed, by kind as in `Rates`.
   struct Counts {
     std::uint64_t accept = 0, socket = 0, connect = 0, poll = 0, interrupted = 0, cut_short = 0, broken = 0;
   };
@@ -38,7 +39,7 @@
         rates_(rates),
         front_port_(std::stoi(front_address.substr(front_address.rfind(':') + 1))) {}
 
-  /// Runs `open_sockets`; sockets that it opens never fail.
+  /// Runs `open_sockets` and returns its result; calls on the sockets that it opens never fail.
   template <typename OpenSockets>
   auto without_faults(const OpenSockets& open_sockets) {
     faults_suspended_ = true;
@@ -47,7 +48,7 @@
     return result;
   }
   const Counts& counts() const { return counts_; }
-  /// Polls that did not fail: in each of them all that could be read was reported.
+  /// The number of polls that did not fail; each of them reports every descriptor that is readable.
   std::uint64_t polls() const { return polls_; }
 
   int socket(int domain, int type, int protocol) override {
@@ -92,7 +93,7 @@
   }
 
  private:
-  // Failures to accept last a moment: calls on a connection that waits longer can't be answered in time.
+  // More failed accepts in a row would delay a connection so long that its calls cannot be answered in time.
   static constexpr int kMaxConsecutiveFailures = 2;
   Random random_;
   Rates rates_;
@@ -115,7 +116,7 @@
     ++consecutive_accept_failures_;
     return fail(counts_.accept, errors);
   }
-  // A new descriptor has the number of one that was closed.
+  // A new descriptor may reuse the number of a closed one.
   void forget(int fd) {
     host_connections_.erase(fd);
     client_connections_.erase(fd);
--- a/tests/invoker/support/platform.h
+++ b/tests/invoker/support/platform.h
@@ -1,4 +1,4 @@
-// The platform's front before stand-in hosts, and a client of it.
+/// An invoker with a RESP front and stand-in hosts, and a client of it.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -13,6 +13,7 @@
 
 namespace pathstack::test {
 
+/// A client of the RESP front that collects all replies.
 class Client final : public net::Stream {
  public:
   Client(World& world, const std::string& address)
@@ -46,6 +47,7 @@
   void ended() override { closed = true; }
 };
 
+/// An invoker with a RESP front that listens on loopback.
 struct FrontFixture {
   World world;
   resp::Front front;
--- a/tests/invoker/support/random.h
+++ b/tests/invoker/support/random.h
@@ -1,4 +1,4 @@
-// Random cuts and garbage from fixed seeds.
+/// Random numbers, cuts and byte strings from fixed seeds.
 #pragma once
 
 #include <algorithm>
@@ -12,9 +12,11 @@
 
 using Random = std::mt19937_64;
 
+/// Returns a random number in [0, bound).
 inline std::size_t below(Random& random, std::size_t bound) { return random() % bound; }
 
-// The parser must give the same for a message however it is cut.
+/// Parses `bytes` in chunks of random size, as a parser must give the same messages however its input is
+/// split. Sets `valid` to false if the parser rejects the input.
 template <typename Parser, typename Out>
 std::vector<Out> parse_cut(Random& random, const std::string& bytes, bool& valid) {
   Parser parser;
@@ -27,6 +29,7 @@
   }
   return out;
 }
+/// Returns up to 399 bytes, two thirds from `alphabet` and the rest arbitrary.
 inline std::string garbage(Random& random, const std::string& alphabet) {
   std::string out(below(random, 400), ' ');
   for (char& c : out)
--- a/tests/invoker/support/scripted_calls.h
+++ b/tests/invoker/support/scripted_calls.h
@@ -1,4 +1,4 @@
-// System calls that fail as a test scripts them, on the connections that the program opens itself.
+/// System calls that fail as scripted by a test, for connections that the program opens itself.
 #pragma once
 
 #include <cerrno>
@@ -8,16 +8,16 @@
 
 namespace pathstack::test {
 
-/// Passes all calls to the kernel but those that the members say. Errors of `receive` and `send` apply to
-/// descriptors that went through `connect`; what stand-in servers accept is never touched.
+/// Passes all calls to the kernel except those that the members make fail. `receive` and `send` fail only on
+/// descriptors that were connected with `connect`, never on connections accepted by stand-in servers.
 class ScriptedCalls final : public net::SystemCalls {
  public:
-  int connect_error = 0;            // of every connect from now on, unless the next member limits it
-  int connect_faults = -1;          // how many connects still fail; negative: all
-  int socket_error = 0;             // of every socket()
-  bool interrupt_connects = false;  // the connect goes on, and reports EINTR
+  int connect_error = 0;            // of all connects, or of as many as `connect_faults` says
+  int connect_faults = -1;          // number of connects that still fail; negative: all
+  int socket_error = 0;             // of all calls of socket()
+  bool interrupt_connects = false;  // the connect proceeds but reports EINTR
   int receive_error = 0, send_error = 0;
-  int connects = 0, sockets = 0;  // tried
+  int connects = 0, sockets = 0;  // number of calls, including failed ones
 
   int socket(int domain, int type, int protocol) override {
     ++sockets;
@@ -35,7 +35,7 @@
   }
   int accept(int fd, int flags) override {
     const int accepted = SystemCalls::accept(fd, flags);
-    connected_.erase(accepted);  // the number may have been a connected one's before
+    connected_.erase(accepted);  // the descriptor may be reused from a closed connection
     return accepted;
   }
   ssize_t receive(int fd, void* buffer, std::size_t size) override {
--- a/tests/invoker/support/server.h
+++ b/tests/invoker/support/server.h
@@ -1,4 +1,4 @@
-// A listener on loopback for the stand-ins. All run on one loop, in turns.
+/// A listener on loopback for stand-in servers, which all run on one loop.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace pathstack::test {
 
-// Accepts connections and keeps them until they end.
+/// Accepts connections and owns them until they end. `owner` must outlive the server.
 template <typename Peer, typename Owner>
 class Server : public net::Handler {
  public:
--- a/tests/invoker/support/settings.h
+++ b/tests/invoker/support/settings.h
@@ -1,4 +1,4 @@
-// Settings of a small site, for tests that need any.
+/// Settings with two classes, for tests that do not need special ones.
 #pragma once
 
 #include "core/types.h"
--- a/tests/invoker/support/temporary_path.h
+++ b/tests/invoker/support/temporary_path.h
@@ -1,4 +1,4 @@
-// A path for a file of a test's own.
+/// A temporary file for a test.
 #pragma once
 
 #include <sys/stat.h>
@@ -11,7 +11,7 @@
 
 namespace pathstack::test {
 
-/// A folder of its own with one file in it. Both go with the owner.
+/// A new directory with a path for one file. The destructor removes both.
 class TemporaryPath {
  public:
   TemporaryPath() {
@@ -27,9 +27,9 @@
   TemporaryPath& operator=(const TemporaryPath&) = delete;
 
   std::string file() const { return folder_ + "/file"; }
-  /// Writes the file in place.
+  /// Overwrites the file in place, without a rename.
   void write(const std::string& text) const { std::ofstream(file(), std::ios::binary) << text; }
-  /// A folder in the file's place: it can be opened, and every read fails (EISDIR).
+  /// Replaces the file by a directory, which can be opened while every read fails with EISDIR.
   void make_unreadable() const {
     remove();
     REQUIRE(mkdir(file().c_str(), 0700) == 0);
--- a/tests/invoker/support/world.h
+++ b/tests/invoker/support/world.h
@@ -1,4 +1,4 @@
-// The parts of an invoker behind its fronts, wired to stand-in hosts.
+/// An invoker without its fronts, connected to stand-in hosts.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace pathstack::test {
 
-// The parts of an invoker behind its fronts, and hosts for it.
+/// The parts of an invoker behind its fronts, and stand-in hosts, all on one loop.
 class World {
  public:
   explicit World(std::size_t hosts, const core::Settings& s = settings(), const hosts::Limits& l = limits(),
@@ -27,7 +27,8 @@
     for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
     publish_hosts(pathstack::policy::WorkerState::ready);
   }
-  // The whole list anew; the given state is that of all hosts, or of one.
+  /// Publishes the complete list of hosts, with `state` and `started` set for all hosts, or for host `one`
+  /// only.
   void publish_hosts(pathstack::policy::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
     host_states.resize(host.size());
     core::MemberList list{true, {}};
