--- a/src/app/reloader.h
+++ b/src/app/reloader.h
@@ -15,6 +15,7 @@
 /// A new request restarts the attempts.
 class Reloader {
  public:
+  /// Attempts for one request, and the delays between them: doubled from the first up to the maximum.
   static constexpr std::size_t kMaxAttempts = 13;
   static constexpr core::Millis kFirstRetryDelay{50}, kMaxRetryDelay{500};
 
@@ -24,6 +25,7 @@
   /// with the fault of the last attempt, for which `last` is true.
   using OnFault = std::function<void(const std::string& fault, bool last)>;
 
+  /// `loop` must outlive this object.
   Reloader(net::Loop& loop, Reload reload, OnFault on_fault)
       : loop_(loop), reload_(std::move(reload)), on_fault_(std::move(on_fault)) {}
   ~Reloader() { loop_.cancel(retry_); }
--- a/src/app/signal_pipe.h
+++ b/src/app/signal_pipe.h
@@ -28,6 +28,7 @@
   /// Returns the signals received since the last call, and clears them.
   Signals take();
 
+  /// Empties the pipe after it has woken the loop.
   void ready(short events) override;
 
  private:
--- a/src/core/call_references.h
+++ b/src/core/call_references.h
@@ -19,6 +19,7 @@
 /// call and at most 8,192 more. Reads no clock; both operations take amortised constant time.
 class CallReferences {
  public:
+  /// How long and how many references of ended calls are kept at most.
   static constexpr Millis kRetentionTime{10000};
   static constexpr std::size_t kMaxEnded = 8192;
 
--- a/src/core/call_validator.h
+++ b/src/core/call_validator.h
@@ -16,6 +16,7 @@
 /// settings that it needs, and no state of calls.
 class CallValidator {
  public:
+  /// `settings` is not used after the construction.
   explicit CallValidator(const Settings& settings);
 
   /// Returns the reason to reject `call`, as the counter of that reason; nothing if the call is valid. Times
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -14,7 +14,9 @@
 /// The values of all counters since the start of the program. Used on the loop's thread only.
 class Counters {
  public:
+  /// Adds `amount` to `counter`. Cost: constant.
   void add(Counter counter, std::uint64_t amount = 1) { values_.at(index(counter)) += amount; }
+  /// Returns the value of `counter` since the start of the program.
   std::uint64_t value(Counter counter) const { return values_.at(index(counter)); }
 
   /// Returns a line `NAME VALUE` for each counter that is not 0. Cost: linear in the number of counters.
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -21,13 +21,17 @@
 /// linear in its length; of a dropped line: constant.
 class EventLog {
  public:
+  /// Returns the time in milliseconds, on the scale of `t`.
   using Clock = std::function<Millis()>;
+  /// Writes one line, which it gets without a line end.
   using WriteLine = std::function<void(const std::string&)>;
   using Field = std::pair<std::string_view, std::string>;
 
+  /// Rate and depth of the token bucket, in lines.
   static constexpr double kLinesPerSecond = 20;
   static constexpr double kBurst = 100;
 
+  /// `counters` must outlive this object.
   EventLog(Clock clock, WriteLine write_line, Counters& counters);
 
   /// Writes the event `name` with `fields`.
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -20,6 +20,7 @@
     if (!started_) started_at_ = now;
     started_ = true;
   }
+  /// True after `start`.
   bool started() const { return started_; }
   /// True while new connections may still arrive.
   bool accepts_connections(Millis now) const { return !past(now, kConnectionTime); }
--- a/tests/invoker/support/platform.h
+++ b/tests/invoker/support/platform.h
@@ -18,17 +18,20 @@
  public:
   Client(World& world, const std::string& address)
       : Stream(world.loop, world.pool, net::connect_to(address), true), world_(world) {}
+  /// Sends an array of words as one RESP command.
   void send_command(const std::vector<std::string_view>& words) {
     std::string out;
     resp::write_array(out, words);
     write(out);
   }
+  /// Sends a CALL whose client waits `allow` milliseconds.
   void call(const std::string& tag, const std::string& cls, const std::string& body, int allow = 1000) {
     const std::string fields = "ref=" + net::hex16(std::hash<std::string>()(tag + body)) +
                                ",allow=" + std::to_string(allow) +
                                ",lookup=00000000000000a1,spec=memory_mb:300;lanes:4";
     send_command({"CALL", tag, cls, fields, body});
   }
+  /// Waits for the reply under `tag`; null if none arrives or the connection ends before.
   const resp::Words* answer(const std::string& tag) {
     const auto has = [&] {
       return std::any_of(replies.begin(), replies.end(), [&](const auto& w) { return w[0] == tag; });
--- a/tests/invoker/support/server.h
+++ b/tests/invoker/support/server.h
@@ -24,10 +24,12 @@
     loop_.watch(listener_.fd(), *this, POLLIN);
   }
   ~Server() override { stop(); }
+  /// Closes the listener; accepted connections stay open.
   void stop() {
     if (listener_) loop_.forget(listener_.fd(), *this);
     listener_.close();
   }
+  /// The address on which the server listens.
   const std::string& address() const { return address_; }
   std::list<std::shared_ptr<Peer>> peers;
   void ready(short) override {
@@ -38,6 +40,7 @@
       peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(result.socket)));
     }
   }
+  /// Removes a connection that has ended; `peer` is destroyed at the end of the turn.
   void gone(Peer& peer) {
     for (auto i = peers.begin(); i != peers.end(); ++i) {
       if (i->get() != &peer) continue;
--- a/tests/invoker/support/settings.h
+++ b/tests/invoker/support/settings.h
@@ -7,6 +7,7 @@
 
 using core::Millis;
 
+/// Returns settings with the repeatable class bin-check and the class bin-record, which must not run twice.
 inline core::Settings settings() {
   core::Settings s;
   s.classes.resize(2);
--- a/tests/invoker/support/temporary_path.h
+++ b/tests/invoker/support/temporary_path.h
@@ -26,6 +26,7 @@
   TemporaryPath(const TemporaryPath&) = delete;
   TemporaryPath& operator=(const TemporaryPath&) = delete;
 
+  /// The path of the file, which need not exist.
   std::string file() const { return folder_ + "/file"; }
   /// Overwrites the file in place, without a rename.
   void write(const std::string& text) const { std::ofstream(file(), std::ios::binary) << text; }
@@ -34,6 +35,7 @@
     remove();
     REQUIRE(mkdir(file().c_str(), 0700) == 0);
   }
+  /// Removes the file, or the directory in its place.
   void remove() const {
     if (unlink(file().c_str()) != 0) rmdir(file().c_str());
   }
--- a/tests/invoker/support/world.h
+++ b/tests/invoker/support/world.h
@@ -46,19 +46,23 @@
     fleet.members(list);
     dispatcher.update_hosts(std::move(entries));
   }
+  /// Runs one turn of the loop, of at most 20 ms.
   void turn() {
     loop.turn(std::min(dispatcher.next_due(), loop.now() + Millis(20)), [this] { dispatcher.tick(); });
   }
+  /// Runs turns until `until` returns true, at most `most` of them; returns what `until` says then.
   template <typename Until>
   bool turn_until(const Until& until, int most = 200000) {
     for (int i = 0; i < most && !until(); ++i) turn();
     return until();
   }
+  /// Limits of the connections to hosts; answers report two load fields.
   static hosts::Limits limits() {
     hosts::Limits l;
     l.report_fields = {"inflight", "util"};
     return l;
   }
+  /// The last published state of a host, when its process started, and when that was published.
   struct HostState {
     pathstack::policy::WorkerState state = pathstack::policy::WorkerState::gone;
     Millis started{0}, at{0};
