--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -6,7 +6,7 @@
 namespace pathstack::app {
 namespace {
 
-constexpr std::size_t kOwnDescriptors = 20;  // standard streams, the listener, the change log and the like
+constexpr std::size_t kOwnDescriptors = 20;  // standard streams, listener, membership log and so on
 constexpr std::size_t kMemoryParts = 4;
 constexpr std::size_t kDescriptorParts = 3;
 
@@ -55,7 +55,7 @@
   return broker;
 }
 
-amqp::Front::Limits trigger_limits(const config::AmqpConfig& config) {
+amqp::Front::Limits amqp_limits(const config::AmqpConfig& config) {
   return {config.open_calls, config.remembered, bytes_of_mb(config.remembered_mb)};
 }
 
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -6,11 +6,12 @@
 namespace pathstack::core {
 namespace {
 
-// What the module leaves open is ended this long after its deadline, inside the grace that the rules give.
-constexpr Millis kOverdue{2};
-constexpr Millis kMinTimeout{1};  // of an attempt
+// A call that the module has not ended is failed this long after its deadline, within the grace period that
+// the rules allow for answers.
+constexpr Millis kOverdueGrace{2};
+constexpr Millis kMinAttemptTimeout{1};
 
-Counter counter_of(CallStatus status) {
+Counter counter_for(CallStatus status) {
   switch (status) {
     case CallStatus::served: return Counter::calls_served;
     case CallStatus::refused: return Counter::calls_refused;
@@ -35,8 +36,8 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-// Nothing unless `attempt` is the one that the call has open.
-OpenCall* Dispatcher::find_call_with(const Attempt& attempt) {
+// Null unless `attempt` is the open attempt of its call.
+OpenCall* Dispatcher::find_call_by_attempt(const Attempt& attempt) {
   OpenCall* call = find_call(attempt.call);
   const bool is_open = call != nullptr && call->attempt() && call->attempt()->attempt == attempt;
   return is_open ? call : nullptr;
@@ -67,15 +68,15 @@
   const bool runs_once = must_run_once(call.class_name);
   const auto added = calls_.insert_or_assign(id, OpenCall(std::move(call), front, runs_once)).first;
   const Call& taken = added->second.call();
-  deadlines_.push({taken.arrived + taken.client_timeout + kOverdue, id, Deadline::kOfCall});
+  deadlines_.push({taken.arrived + taken.client_timeout + kOverdueGrace, id, Deadline::kCallDeadline});
   apply_steps(module_.add_call(clock_(), id, taken));
   return true;
 }
 
-void Dispatcher::leave(CallId id) {
+void Dispatcher::abandon(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_left);
-  // The module is notified before the attempt ends: it must not retry what nobody waits for.
+  // The module is notified before the attempt ends: it must not retry a call that nobody waits for.
   apply_steps(module_.report(clock_(), CallAbandoned{id}));
   OpenCall* open = find_call(id);
   if (open != nullptr && open->attempt()) {
@@ -84,22 +85,24 @@
   }
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  references_.end(found->second.call().ref, clock_());
+  references_.note_ended(found->second.call().ref, clock_());
   calls_.erase(found);
 }
 
-void Dispatcher::end_all() {
+void Dispatcher::finish_all() {
   std::vector<CallId> ids;
   for (const auto& [id, open] : calls_) ids.push_back(id);
   std::sort(ids.begin(), ids.end());
   for (const CallId id : ids) {
     counters_.add(Counter::calls_ended_unserved);
-    apply_steps(module_.report(clock_(), CallAbandoned{id}));  // first, or it would retry what fails now
+    apply_steps(module_.report(
+        clock_(), CallAbandoned{id}));  // first, or the module would retry the call that is refused next
     apply(RefuseStep{id, Millis(0)});
   }
 }
 
-// Reports the end of an attempt that this side gave up, if one is open. `call` may be gone afterwards.
+// Reports the end of the open attempt, which this side has cancelled; does nothing if there is none. `call`
+// may have been destroyed when this returns.
 void Dispatcher::report_abandoned_attempt(OpenCall& call, Outcome outcome, bool call_finished) {
   if (!call.attempt()) return;
   const OpenAttempt closed = call.close_attempt(outcome);
@@ -114,7 +117,7 @@
 }
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
-  OpenCall* call = find_call_with(attempt);
+  OpenCall* call = find_call_by_attempt(attempt);
   if (call == nullptr) return;
   const OpenAttempt closed = call->close_attempt(end.outcome);
   const Millis now = clock_();
@@ -127,20 +130,20 @@
   reported.concurrent_calls = end.concurrent_calls;
   reported.elapsed = now - closed.sent_at;
   reported.report = std::move(end.report);
-  // The answer goes first: the module's turn may be long.
+  // The answer is sent first, as the module's decision may take long.
   if (served) finish(attempt.call, {CallStatus::served, Millis(0), std::move(end.body)});
   apply_steps(module_.report(now, reported));
 }
 
 void Dispatcher::load_ended(LoadOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
 void Dispatcher::probe_ended(ProbeOutcome&& end) { apply_steps(module_.report(clock_(), end)); }
-void Dispatcher::members(HostList&& list) { apply_steps(module_.report(clock_(), list)); }
+void Dispatcher::update_hosts(HostList&& list) { apply_steps(module_.report(clock_(), list)); }
 
-void Dispatcher::connections_lost(const std::string& host) {
+void Dispatcher::host_connections_lost(const std::string& host) {
   apply_steps(module_.report(clock_(), HostConnectionsLost{host}));
 }
 
-void Dispatcher::list_lease(Millis until, Millis later_changes_from) {
+void Dispatcher::update_list_lease(Millis until, Millis later_changes_from) {
   apply_steps(module_.report(clock_(), ListLease{until, later_changes_from}));
 }
 
@@ -156,25 +159,25 @@
   while (!deadlines_.empty() && deadlines_.top().at <= now) {
     const Deadline deadline = deadlines_.top();
     deadlines_.pop();
-    if (deadline.attempt == Deadline::kOfCall) {
-      call_overdue(deadline.call);
+    if (deadline.attempt == Deadline::kCallDeadline) {
+      fail_overdue_call(deadline.call);
     } else {
-      attempt_timed_out({deadline.call, deadline.attempt});
+      time_out_attempt({deadline.call, deadline.attempt});
     }
   }
 }
 
-// The attempt may have ended long ago.
-void Dispatcher::attempt_timed_out(const Attempt& attempt) {
-  OpenCall* call = find_call_with(attempt);
+// The attempt may have ended before its time-out; then there is nothing to do.
+void Dispatcher::time_out_attempt(const Attempt& attempt) {
+  OpenCall* call = find_call_by_attempt(attempt);
   if (call == nullptr) return;
   counters_.add(Counter::attempts_timed_out);
   const bool may_have_run = hosts_.cancel(attempt);
   report_abandoned_attempt(*call, may_have_run ? Outcome::timeout : Outcome::connect_failed, false);
 }
 
-// The module must answer every call in time; one that it forgot would never be answered but for this.
-void Dispatcher::call_overdue(CallId id) {
+// The module must end every call in time; this answers a call that it did not end.
+void Dispatcher::fail_overdue_call(CallId id) {
   if (find_call(id) == nullptr) return;
   counters_.add(Counter::calls_overdue);
   apply_steps(module_.report(clock_(), CallAbandoned{id}));
@@ -188,7 +191,7 @@
 
 void Dispatcher::apply_steps(Steps&& steps) {
   for (auto& step : steps) steps_.push_back(std::move(step));
-  if (applying_steps_) return;  // the outer call applies these in their order
+  if (applying_steps_) return;  // the outer invocation applies them, in order
   applying_steps_ = true;
   while (!steps_.empty()) {
     const Step step = std::move(steps_.front());
@@ -205,8 +208,8 @@
   const Millis now = clock_();
   const Millis time_left = call->time_left(now);
   const Millis timeout = step.timeout.count() > 0 ? std::min(step.timeout, time_left) : time_left;
-  if (timeout < kMinTimeout || !call->may_send(attempt.number, settings_.max_attempts)) {
-    return refuse_send(step, attempt, call->attempt().has_value());
+  if (timeout < kMinAttemptTimeout || !call->may_send(attempt.number, settings_.max_attempts)) {
+    return reject_send(step, attempt, call->attempt().has_value());
   }
   counters_.add(Counter::attempts_sent);
   call->open_attempt({attempt, step.host, now});
@@ -214,7 +217,7 @@
   hosts_.send_attempt(attempt, step.host, call->call(), timeout);
 }
 
-void Dispatcher::refuse_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
+void Dispatcher::reject_send(const SendStep& step, const Attempt& attempt, bool other_attempt_open) {
   const Millis now = clock_();
   counters_.add(Counter::guard_send_stopped);
   if (!other_attempt_open) finish(step.call, Answer{});
@@ -230,7 +233,8 @@
   OpenCall* call = find_call(step.call);
   if (call == nullptr) return;
   if (call->attempt() && hosts_.cancel(call->attempt()->attempt)) call->note_may_have_run();
-  // A refusal says that a retry is harmless; what may have run is failed, with the same advice.
+  // A refusal states that a retry is harmless. A call that may have run is answered as failed, with the same
+  // retry time.
   const bool harmless = !call->may_have_run();
   finish(step.call, {harmless ? CallStatus::refused : CallStatus::failed, step.retry_after, {}});
 }
@@ -238,7 +242,7 @@
 void Dispatcher::apply(const FailStep& step) { finish(step.call, Answer{}); }
 
 void Dispatcher::apply(const CancelStep& step) {
-  OpenCall* call = find_call_with(step.attempt);
+  OpenCall* call = find_call_by_attempt(step.attempt);
   if (call == nullptr) return;
   counters_.add(Counter::attempts_cancelled);
   const bool may_have_run = hosts_.cancel(step.attempt);
@@ -258,16 +262,16 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   OpenCall call = std::move(found->second);
-  calls_.erase(found);  // first: whatever follows finds the call ended
-  references_.end(call.call().ref, clock_());
-  counters_.add(counter_of(answer.status));
+  calls_.erase(found);  // first, so that the code below finds the call ended
+  references_.note_ended(call.call().ref, clock_());
+  counters_.add(counter_for(answer.status));
   if (call.attempt()) hosts_.cancel(call.attempt()->attempt);
   if (answer.status != CallStatus::served) log_unserved(call, answer.status);
   call.front().answer(id, std::move(answer));
   report_abandoned_attempt(call, Outcome::cancelled, true);
 }
 
-// What one looks for first when a client complains: which hosts the call met, and what they said.
+// Logs the hosts that were tried and their outcomes, for the analysis of a client's complaint.
 void Dispatcher::log_unserved(const OpenCall& call, CallStatus status) {
   if (event_log_ == nullptr) return;
   std::string attempts;
@@ -277,12 +281,12 @@
   }
   if (call.attempt()) attempts += (attempts.empty() ? "" : ",") + call.attempt()->host + ":open";
   const Millis now = clock_();
-  const auto whole = [](Millis span) { return std::to_string(static_cast<std::int64_t>(span.count())); };
+  const auto whole_ms = [](Millis span) { return std::to_string(static_cast<std::int64_t>(span.count())); };
   event_log_->write(status == CallStatus::refused ? "call.refused" : "call.failed",
                     {{"ref", call.call().ref},
                      {"class", call.call().class_name},
-                     {"age_ms", whole(now - call.call().arrived)},
-                     {"left_ms", whole(call.time_left(now))},
+                     {"age_ms", whole_ms(now - call.call().arrived)},
+                     {"left_ms", whole_ms(call.time_left(now))},
                      {"attempts", attempts.empty() ? "none" : attempts}});
 }
 
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -31,11 +31,11 @@
     : clock_(std::move(clock)),
       write_line_(std::move(write_line)),
       counters_(counters),
-      filled_at_(clock_()) {}
+      refilled_at_(clock_()) {}
 
 bool EventLog::take_token(Millis now) {
-  const double elapsed = (now - filled_at_).count();
-  filled_at_ = now;
+  const double elapsed = (now - refilled_at_).count();
+  refilled_at_ = now;
   tokens_ = std::min(kBurst, tokens_ + elapsed * kLinesPerSecond / kMillisPerSecond);
   if (tokens_ < 1) return false;
   tokens_ -= 1;
@@ -48,7 +48,7 @@
   return false;
 }
 
-// In an overload a line that is not written costs nothing.
+// The rate limit is checked first, so that a dropped line is not formatted.
 void EventLog::write(std::string_view name, std::initializer_list<Field> fields) {
   const Millis now = clock_();
   if (!may_write(now)) return;
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -242,7 +242,7 @@
                   [](const auto& other) { return other->open() && other->counts_for_host(); });
   const bool was_to_current_process = connection.was_up() && !connection.is_replaced();
   if (was_to_current_process && closed_by_host && !has_other_connection)
-    dispatcher_->connections_lost(connection.host());
+    dispatcher_->host_connections_lost(connection.host());
 }
 
 }  // namespace pathstack::hosts
--- a/tests/invoker/host_connections_test.cpp
+++ b/tests/invoker/host_connections_test.cpp
@@ -12,7 +12,7 @@
 using Kind = Reaction::Kind;
 
 TEST_CASE("a malformed or incomplete answer ends its connection once; the host gets further calls") {
-  Platform p(1);
+  FrontFixture p(1);
   // missing_length: an answer that was cut off before its length was served as an empty body.
   const auto kind = GENERATE(Kind::malformed, Kind::stall, Kind::silence, Kind::missing_length);
   int execs = 0;
@@ -41,7 +41,7 @@
 // Guards against too many health checks, each of them a probe: hosts that were loading an instance got 1.2 of
 // them per request (inc142).
 TEST_CASE("a connection with one long call gets few health checks; one to an unreachable host is ended") {
-  Platform p(1);
+  FrontFixture p(1);
   auto& host = *p.world.host[0];
   host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE("a duplicate or unknown answer does not affect calls; its connection accepts no new attempt") {
-  Platform p(1);
+  FrontFixture p(1);
   const auto kind = GENERATE(Kind::duplicate, Kind::unknown_ref);
   const std::string word = GENERATE("data", "full");
   int execs = 0;
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE("a refused connect proves that nothing ran: a bin-record is sent to another host") {
-  Platform p(2);
+  FrontFixture p(2);
   p.world.host[0]->server.stop();
   Client c(p.world, p.front.address());
   for (int i = 1; i <= 6; ++i) c.call(std::to_string(i), "bin-record", std::to_string(i));
@@ -124,11 +124,11 @@
 }
 
 TEST_CASE("a host that is reported as draining gets no new call") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  p.world.tell(pathstack::policy::WorkerState::draining);
+  p.world.publish_hosts(pathstack::policy::WorkerState::draining);
   c.call("2", "bin-check", "y", 300);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -249,12 +249,12 @@
 }
 
 TEST_CASE("a host that restarted at the same address is reached over a new connection") {
-  Platform p(1);
+  FrontFixture p(1);
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
   const auto opened = p.world.counters.value(core::Counter::hosts_links_opened);
-  p.world.tell(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
+  p.world.publish_hosts(pathstack::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
@@ -262,7 +262,7 @@
 }
 
 TEST_CASE("a call to a host that never answers fails at its deadline, and its connection ends") {
-  Platform p(1);
+  FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x", 600);
--- a/tests/invoker/host_faults_test.cpp
+++ b/tests/invoker/host_faults_test.cpp
@@ -236,17 +236,17 @@
   const net::ScopedSystemCalls scope(calls);
   world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   const double first_start = 1e6;
-  world.tell(pathstack::policy::WorkerState::ready, first_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, first_start);
   world.fleet.send_attempt({1, 0}, "h0", call_of("000000000000000a"), Millis(5000));
   const double second_start = first_start + GENERATE(-3600e3, -1.0, 1.0, 3600e3);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({2, 0}, "h0", call_of("000000000000000b"), Millis(5000));
   CHECK(calls.connects == 2);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({3, 0}, "h0", call_of("000000000000000c"), Millis(5000));
   CHECK(calls.connects == 2);
-  world.tell(pathstack::policy::WorkerState::ready, 0);
-  world.tell(pathstack::policy::WorkerState::ready, second_start);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, 0);
+  world.publish_hosts(pathstack::policy::WorkerState::ready, second_start);
   world.fleet.send_attempt({4, 0}, "h0", call_of("000000000000000d"), Millis(5000));
   CHECK(calls.connects == 2);  // neither the same start time nor an unknown one is a restart
 }
@@ -375,7 +375,7 @@
   const bool stale = GENERATE(true, false);
   if (stale) {
     world.fleet.list_lease(world.loop.now() - Millis(10000));
-    world.dispatcher.list_lease(world.loop.now() - Millis(10000));
+    world.dispatcher.update_list_lease(world.loop.now() - Millis(10000));
   }
   serve("000000000000000a");
   const int orders = world.host[0]->orders;
