--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -35,10 +35,10 @@
 resp::Front::Limits client_limits(const config::Config& config) {
   const std::size_t third = config.sockets / kDescriptorParts;
   resp::Front::Limits limits;
-  limits.clients = third;
-  const std::size_t reserved = kOwnDescriptors + limits.closing;
-  limits.newcomers = std::max<std::size_t>(third, reserved + kOwnDescriptors) - reserved;
-  limits.body_bytes = memory_quarter(config);
+  limits.max_active = third;
+  const std::size_t reserved = kOwnDescriptors + limits.max_closing;
+  limits.max_pending = std::max<std::size_t>(third, reserved + kOwnDescriptors) - reserved;
+  limits.max_body_bytes = memory_quarter(config);
   return limits;
 }
 
--- a/src/resp/connection_table.cpp
+++ b/src/resp/connection_table.cpp
@@ -20,7 +20,7 @@
   pending_.push_back(std::move(connection));
   pending_.back()->position_ = std::prev(pending_.end());
   pending_.back()->list_ = &pending_;
-  if (pending_.size() <= limits_.newcomers) return;
+  if (pending_.size() <= limits_.max_pending) return;
   const std::shared_ptr<Connection> oldest = pending_.front();
   oldest->ready(POLLIN);
   if (oldest->has_sent_request() || oldest->ending()) return;
@@ -29,7 +29,7 @@
 
 bool ConnectionTable::activate(Connection& connection) {
   move_to_back(active_, connection);
-  if (active_.size() <= limits_.clients) return true;
+  if (active_.size() <= limits_.max_active) return true;
   const auto self = std::prev(active_.end());
   const auto found = std::find_if(active_.begin(), self, is_idle);
   if (found == self) return false;
@@ -40,7 +40,7 @@
 
 void ConnectionTable::begin_closing(Connection& connection) {
   move_to_back(closing_, connection);
-  if (closing_.size() <= std::max<std::size_t>(limits_.closing, 1)) return;
+  if (closing_.size() <= std::max<std::size_t>(limits_.max_closing, 1)) return;
   counters_.add(core::Counter::resp_linger_cut);
   const std::shared_ptr<Connection> oldest = closing_.front();
   oldest->end_later();
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -106,7 +106,7 @@
     fail_open_call(*open);
     return connection.reject_input();
   }
-  if (connection.open_calls() >= limits_.calls_a_client) {
+  if (connection.open_calls() >= limits_.max_calls_per_connection) {
     return reject_call(connection, tag, core::Counter::resp_too_many_open, core::CallStatus::refused);
   }
   auto decoded = decode_call(words);
@@ -116,7 +116,7 @@
   auto& call = std::get<core::Call>(decoded);
   const std::size_t body_bytes = call.body.size();
   // Bounds memory: a client of any number of connections may hold only so much of it.
-  if (calls_.body_bytes() + body_bytes > limits_.body_bytes) {
+  if (calls_.body_bytes() + body_bytes > limits_.max_body_bytes) {
     return reject_call(connection, tag, core::Counter::resp_no_memory, core::CallStatus::refused);
   }
   call.arrived = connection.arrival_of_input();
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -266,7 +266,7 @@
 TEST_CASE("connections that wait for their client's close are bounded in number") {
   constexpr int kClients = 5;
   resp::Front::Limits limits;
-  limits.closing = 2;
+  limits.max_closing = 2;
   Platform p(limits);
   std::list<RawClient> clients;
   for (int i = 0; i < kClients; ++i) {
@@ -280,7 +280,7 @@
 
 TEST_CASE("a health check on a connection for which there is no place is answered") {
   resp::Front::Limits limits;
-  limits.clients = 1;
+  limits.max_active = 1;
   Platform p(limits);
   p.keep_host_silent();
   RawClient usual(p.front.address());
@@ -319,7 +319,7 @@
   FirstConnectionHidden calls;
   const net::ScopedSystemCalls scoped(calls);
   resp::Front::Limits limits;
-  limits.clients = 2;
+  limits.max_active = 2;
   Platform p(limits);
   RawClient first(p.front.address());
   first.send_all(p, request({"CHECK", "1", ""}));
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -79,7 +79,7 @@
 // Failure found in review: the listener was closed over connections that the kernel had accepted.
 TEST_CASE("connections that wait to be accepted when listening ends are served") {
   resp::Front::Limits limits;
-  limits.newcomers = 256;
+  limits.max_pending = 256;
   FrontFixture p(1, limits);
   std::list<Client> clients;
   for (int i = 1; i <= 100; ++i) {
@@ -143,7 +143,7 @@
 
 TEST_CASE("clients beyond the bound take the place of the one longest idle") {
   resp::Front::Limits limits;
-  limits.clients = 2;
+  limits.max_active = 2;
   FrontFixture p(1, limits);
   Client a(p.world, p.front.address()), b(p.world, p.front.address());
   a.send_command({"CHECK", "1"});
@@ -158,7 +158,7 @@
 // Failure found in review: a connection for which there was no place was closed without an answer.
 TEST_CASE("a call on a connection for which there is no place is refused, and reaches no host") {
   resp::Front::Limits limits;
-  limits.clients = 2;
+  limits.max_active = 2;
   FrontFixture p(1, limits);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client a(p.world, p.front.address()), b(p.world, p.front.address());
@@ -281,7 +281,7 @@
 
 TEST_CASE("connections by dozens that say nothing cost those that ask no place") {
   resp::Front::Limits limits;
-  limits.clients = limits.newcomers = 4;
+  limits.max_active = limits.max_pending = 4;
   FrontFixture p(1, limits);
   Client usual(p.world, p.front.address());
   usual.send_command({"CHECK", "1"});
