--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -223,7 +223,7 @@
   const bool listener_closed = !shutdown_.accepts_connections(now) && resp_front_.stop_listening();
   if (shutdown_.final_answers_due(now)) dispatcher_.finish_all();
   const bool clients_served =
-      resp_front_.open_calls() == 0 && !resp_front_.reading() && resp_front_.written();
+      resp_front_.open_calls() == 0 && !resp_front_.has_partial_request() && resp_front_.all_written();
   const bool amqp_served = !amqp_front_ || amqp_front_->done();
   const bool all_served = clients_served && amqp_served;
   const bool no_new_input = listener_closed && !shutdown_.accepts_requests(now);
--- a/src/resp/connection.cpp
+++ b/src/resp/connection.cpp
@@ -41,7 +41,7 @@
 Connection::~Connection() { loop().cancel(request_timer_); }
 
 bool Connection::is_idle() const {
-  return open_calls_.empty() && outbox().empty() && !is_reading() && !has_input();
+  return open_calls_.empty() && outbox().empty() && !has_partial_request() && !has_input();
 }
 
 std::optional<core::CallId> Connection::find_call(const std::string& tag) const {
@@ -71,7 +71,7 @@
   reject_input();
 }
 
-void Connection::note_rejected_call() {
+void Connection::count_rejected_call() {
   if (++rejected_calls_ <= kMaxRejectedCalls) return;
   counters_.add(core::Counter::resp_faults_closed);
   reject_input();
@@ -93,9 +93,9 @@
   observer_.on_closing(*this);
 }
 
-void Connection::restart_timer(core::Millis span, std::function<void()> ring) {
+void Connection::restart_timer(core::Millis delay, std::function<void()> callback) {
   loop().cancel(request_timer_);
-  request_timer_ = loop().at(loop().now() + span, std::move(ring));
+  request_timer_ = loop().at(loop().now() + delay, std::move(callback));
 }
 
 // Half a request, or none, would hold a descriptor for good.
@@ -105,14 +105,14 @@
 
 // Each begun request has a timer of its own: the next one's time starts with its own first byte.
 void Connection::update_request_timer(bool request_complete) {
-  const bool in_part = parser_.begun();
-  if (awaits_request_ && (request_complete || !in_part)) {
+  const bool partial = parser_.has_partial_message();
+  if (awaits_request_ && (request_complete || !partial)) {
     loop().cancel(request_timer_);
     request_overdue_ = false;
     keep_open();  // the rest has come in the very turn in which the last open call was answered
   }
-  if (in_part && (!awaits_request_ || request_complete)) restart_request_timer();
-  awaits_request_ = in_part || !has_sent_request_;
+  if (partial && (!awaits_request_ || request_complete)) restart_request_timer();
+  awaits_request_ = partial || !has_sent_request_;
 }
 
 // What is open still gets its answer, and until then the rest may still come.
@@ -123,7 +123,7 @@
 }
 
 // What is read in a later turn than the first bytes did not wait for the connection to be accepted.
-void Connection::note_read() {
+void Connection::update_arrival_time() {
   const core::Millis turn = loop().turn_began();
   if (!first_read_) first_read_ = turn;
   if (*first_read_ != turn) waiting_since_.reset();
@@ -132,7 +132,7 @@
 void Connection::backlog_discarded() { counters_.add(core::Counter::resp_unread_closed); }
 
 void Connection::received(std::string_view bytes) {
-  note_read();
+  update_arrival_time();
   std::vector<Words> requests;
   const bool well_formed = parser_.take(bytes, requests);
   const bool request_complete = !requests.empty();
--- a/src/resp/connection.h
+++ b/src/resp/connection.h
@@ -56,7 +56,7 @@
   /// True if closing it loses no request, but for one that crosses the close. Cost: one poll(2).
   bool is_idle() const;
   /// A request has come in part.
-  bool is_reading() const { return parser_.begun(); }
+  bool has_partial_request() const { return parser_.has_partial_message(); }
   bool has_sent_request() const { return has_sent_request_; }
 
   /// Its first bytes may have come at any time since then, while connections could not be accepted.
@@ -76,7 +76,7 @@
   /// Writes a reply at the end of the turn. A client that leaves too much unread has its input rejected.
   void reply(std::string_view bytes);
   /// Counts a rejected call. The number is bounded: a client that repeats it at once would do so for ever.
-  void note_rejected_call();
+  void count_rejected_call();
   /// The client broke the protocol: nothing more is taken from it, and the connection ends once the open
   /// calls have their final answers.
   void reject_input();
@@ -101,11 +101,11 @@
   ConnectionList* list_ = nullptr;
   ConnectionList::iterator position_;
 
-  void restart_timer(core::Millis span, std::function<void()> ring);
+  void restart_timer(core::Millis delay, std::function<void()> callback);
   void restart_request_timer();
   void update_request_timer(bool request_complete);
   void on_request_overdue();
-  void note_read();
+  void update_arrival_time();
   void backlog_discarded() override;
   void received(std::string_view bytes) override;
   void ended() override;
--- a/src/resp/connection_table.cpp
+++ b/src/resp/connection_table.cpp
@@ -10,8 +10,10 @@
 namespace pathstack::resp {
 namespace {
 
-bool is_written(const std::shared_ptr<Connection>& connection) { return connection->outbox().empty(); }
-bool is_reading(const std::shared_ptr<Connection>& connection) { return connection->is_reading(); }
+bool has_no_output(const std::shared_ptr<Connection>& connection) { return connection->outbox().empty(); }
+bool has_partial_request(const std::shared_ptr<Connection>& connection) {
+  return connection->has_partial_request();
+}
 bool is_idle(const std::shared_ptr<Connection>& connection) { return connection->is_idle(); }
 
 }  // namespace
@@ -60,13 +62,13 @@
 }
 
 bool ConnectionTable::all_written() const {
-  return std::all_of(active_.begin(), active_.end(), is_written) &&
-         std::all_of(closing_.begin(), closing_.end(), is_written);
+  return std::all_of(active_.begin(), active_.end(), has_no_output) &&
+         std::all_of(closing_.begin(), closing_.end(), has_no_output);
 }
 
-bool ConnectionTable::any_reading() const {
-  return std::any_of(active_.begin(), active_.end(), is_reading) ||
-         std::any_of(pending_.begin(), pending_.end(), is_reading);
+bool ConnectionTable::any_partial_request() const {
+  return std::any_of(active_.begin(), active_.end(), has_partial_request) ||
+         std::any_of(pending_.begin(), pending_.end(), has_partial_request);
 }
 
 void ConnectionTable::move_to_back(ConnectionList& list, Connection& connection) {
--- a/src/resp/connection_table.h
+++ b/src/resp/connection_table.h
@@ -34,7 +34,7 @@
   /// No active or closing connection has bytes to be written.
   bool all_written() const;
   /// An active or pending connection has sent a part of a request.
-  bool any_reading() const;
+  bool any_partial_request() const;
   bool empty() const { return active_.empty() && pending_.empty() && closing_.empty(); }
 
  private:
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -17,7 +17,7 @@
   return core::Counter::resp_bad_fields;
 }
 
-std::string encode_verdict(const std::string& tag, core::CallStatus status) {
+std::string encode_status(const std::string& tag, core::CallStatus status) {
   return encode_answer(tag, {status, core::Millis(0), {}});
 }
 
@@ -62,7 +62,7 @@
   for (const auto& words : requests) {
     if (words.size() < 2) continue;
     const std::string& tag = words[1];
-    if (words[0] == "CALL") connection.reply(encode_verdict(tag, core::CallStatus::refused));
+    if (words[0] == "CALL") connection.reply(encode_status(tag, core::CallStatus::refused));
     if (words[0] == "CHECK") reply_health(connection, tag);
   }
   connection.reject_input();
@@ -73,7 +73,7 @@
   if (const auto* const error = std::get_if<RequestError>(&decoded)) {
     counters_.add(counter_of(*error));
     if (*error == RequestError::bad_tag) return connection.reject_input();
-    return connection.reply(encode_verdict(words[1], core::CallStatus::failed));
+    return connection.reply(encode_status(words[1], core::CallStatus::failed));
   }
   const auto& header = std::get<RequestHeader>(decoded);
   switch (header.kind) {
@@ -139,8 +139,8 @@
 void Front::reject_call(Connection& connection, const std::string& tag, core::Counter reason,
                         core::CallStatus status) {
   counters_.add(reason);
-  connection.reply(encode_verdict(tag, status));
-  connection.note_rejected_call();
+  connection.reply(encode_status(tag, status));
+  connection.count_rejected_call();
 }
 
 void Front::reply_health(Connection& connection, const std::string& tag) const {
@@ -152,7 +152,7 @@
   const auto call = calls_.remove(id);
   if (!call) return;
   dispatcher_.abandon(id);
-  call->connection->reply(encode_verdict(call->tag, core::CallStatus::failed));
+  call->connection->reply(encode_status(call->tag, core::CallStatus::failed));
 }
 
 }  // namespace pathstack::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -41,9 +41,9 @@
   bool stop_listening() { return listener_.stop(); }
   std::size_t open_calls() const { return calls_.size(); }
   /// Nothing waits to be written.
-  bool written() const { return connections_.all_written(); }
+  bool all_written() const { return connections_.all_written(); }
   /// A request has come in part.
-  bool reading() const { return connections_.any_reading(); }
+  bool has_partial_request() const { return connections_.any_partial_request(); }
   /// Begins to end all connections: each is sent what waits to be written, and nothing more is read from it.
   void close_connections() { connections_.reject_all_input(); }
   bool closed() const { return connections_.empty(); }
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -11,32 +11,32 @@
 
 }  // namespace
 
-bool Parser::header(char sign, std::size_t most, std::size_t& value) const {
-  if (line_.empty() || line_[0] != sign) return false;
-  const auto read = net::parse_whole(std::string_view(line_).substr(1), most);
+bool Parser::parse_length(char prefix, std::size_t max, std::size_t& value) const {
+  if (line_.empty() || line_[0] != prefix) return false;
+  const auto read = net::parse_whole(std::string_view(line_).substr(1), max);
   value = read.value_or(0);
   return read.has_value();
 }
 
-bool Parser::header_line(std::vector<Words>& out) {
+bool Parser::handle_line(std::vector<Words>& out) {
   if (state_ == State::array) {
-    if (!header('*', kMaxWords, words_left_) || words_left_ == 0) return false;
+    if (!parse_length('*', kMaxWords, words_left_) || words_left_ == 0) return false;
     words_.clear();
     message_left_ = kMaxMessageBytes;
     state_ = State::bulk;
   } else if (state_ == State::bulk) {
-    if (!header('$', std::min(kMaxWordBytes, message_left_), bytes_left_)) return false;
+    if (!parse_length('$', std::min(kMaxWordBytes, message_left_), bytes_left_)) return false;
     message_left_ -= bytes_left_;
     words_.emplace_back();
     state_ = State::data;
   } else {
     if (!line_.empty()) return false;
-    return next_word(out);
+    return finish_word(out);
   }
   return true;
 }
 
-bool Parser::next_word(std::vector<Words>& out) {
+bool Parser::finish_word(std::vector<Words>& out) {
   state_ = State::bulk;
   if (--words_left_ > 0) return true;
   out.push_back(std::move(words_));
@@ -57,13 +57,13 @@
     }
     const char c = bytes.front();
     bytes.remove_prefix(1);
-    if (return_seen_) {
-      return_seen_ = false;
-      if (c != '\n' || !header_line(out)) state_ = State::malformed;
+    if (cr_seen_) {
+      cr_seen_ = false;
+      if (c != '\n' || !handle_line(out)) state_ = State::malformed;
       line_.clear();
       if (state_ == State::data && bytes_left_ == 0) state_ = State::data_end;
     } else if (c == '\r') {
-      return_seen_ = true;
+      cr_seen_ = true;
     } else if (state_ == State::data_end || line_.size() >= kMaxHeaderBytes) {
       state_ = State::malformed;  // a word past its length, or a header that would grow without end
     } else {
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -24,19 +24,19 @@
   /// the fault are in `out`, and all bytes after it are ignored.
   bool take(std::string_view bytes, std::vector<Words>& out);
   /// A part of an array has come.
-  bool begun() const { return state_ != State::array || !line_.empty() || return_seen_; }
+  bool has_partial_message() const { return state_ != State::array || !line_.empty() || cr_seen_; }
 
  private:
   enum class State { array, bulk, data, data_end, malformed };
   State state_ = State::array;
   std::string line_;  // of a header, without its end
-  bool return_seen_ = false;
+  bool cr_seen_ = false;
   std::size_t words_left_ = 0, bytes_left_ = 0, message_left_ = 0;
   Words words_;
 
-  bool header(char sign, std::size_t most, std::size_t& value) const;
-  bool header_line(std::vector<Words>& out);
-  bool next_word(std::vector<Words>& out);
+  bool parse_length(char prefix, std::size_t max, std::size_t& value) const;
+  bool handle_line(std::vector<Words>& out);
+  bool finish_word(std::vector<Words>& out);
 };
 
 /// Appends an array of bulk strings to `out`. Cost: the size of the words.
--- a/src/resp/request_decoder.cpp
+++ b/src/resp/request_decoder.cpp
@@ -41,7 +41,7 @@
   return std::nullopt;
 }
 
-std::optional<RequestError> decode_figures(const Fields& fields, core::Call& call) {
+std::optional<RequestError> decode_numbers(const Fields& fields, core::Call& call) {
   const auto timeout = net::parse_whole(field(fields, "allow"), kMaxTimeoutMs);
   if (!timeout) return RequestError::bad_timeout;
   call.client_timeout = core::Millis(static_cast<double>(*timeout));
@@ -80,7 +80,7 @@
   core::Call call;
   call.class_name = words[kClassWord];
   if (const auto error = decode_identity(*fields, call)) return *error;
-  if (const auto error = decode_figures(*fields, call)) return *error;
+  if (const auto error = decode_numbers(*fields, call)) return *error;
   if (const auto error = decode_resources(field(*fields, "spec"), call)) return *error;
   if (words.size() > kBodyWord) call.body = std::move(words[kBodyWord]);
   return call;
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -95,16 +95,16 @@
   Client c(p.world, p.front.address());
   c.send_command({"CHECK", "1", ""});
   REQUIRE(c.answer("1") != nullptr);
-  CHECK_FALSE(p.front.reading());
+  CHECK_FALSE(p.front.has_partial_request());
   c.write("*3\r\n$5\r\nCHECK\r\n$1\r\n");
-  REQUIRE(p.world.turn_until([&] { return p.front.reading(); }, 20000));
+  REQUIRE(p.world.turn_until([&] { return p.front.has_partial_request(); }, 20000));
   if (GENERATE(true, false)) {
     c.write("2\r\n$0\r\n\r\n");
     REQUIRE(c.answer("2") != nullptr);
   } else {
     c.end_later();
   }
-  CHECK(p.world.turn_until([&] { return !p.front.reading(); }, 20000));
+  CHECK(p.world.turn_until([&] { return !p.front.has_partial_request(); }, 20000));
 }
 
 TEST_CASE("at the program's end what is open is answered: failed where it may have run, else refused") {
