--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -78,7 +78,7 @@
     return turn_until([&] { return client.up() || client.closed(); }, kMaxCheckTime) && client.up();
   }
 
-  const CallBook& book() const { return book_; }
+  const CallRecords& book() const { return book_; }
   const FaultyCalls::Counts& faults() const { return calls_->counts(); }
   std::size_t open_in_invoker() const { return dispatcher_.open_calls() + front_.open_calls(); }
   const core::Settings& settings() const { return settings_; }
@@ -90,7 +90,7 @@
   net::Loop loop_;
   net::BufferPool buffers_{4096};
   TurnClock clock_;
-  CallBook book_;
+  CallRecords book_;
   core::Counters counters_;
   std::unique_ptr<FaultyCalls> calls_;
   std::function<Moment()> now_ = [this] { return Moment{clock_.now(), calls_->polls()}; };
@@ -145,7 +145,7 @@
     if (!(*client)->open()) return;
     if (chance(60) && (*client)->open_calls() < 16) make_calls(**client);
     if ((*client)->open_calls() > 0 && chance(8)) (*client)->cancel(below(random_, (*client)->open_calls()));
-    if (chance(2)) (*client)->leave();
+    if (chance(2)) (*client)->disconnect();
   }
   void make_calls(CallClient& client) {
     for (std::size_t i = 1 + below(random_, 3); i > 0 && calls_made_ < kCalls; --i) {
@@ -153,17 +153,17 @@
       CallRecord record;
       record.ref = net::hex16(++calls_made_);
       record.semantics = cls.semantics;
-      record.allow = kMinClientTimeout +
-                     Millis(static_cast<double>(below(random_, std::size_t(kClientTimeoutSpread.count()))));
+      record.timeout = kMinClientTimeout +
+                       Millis(static_cast<double>(below(random_, std::size_t(kClientTimeoutSpread.count()))));
       const std::size_t size = chance(5) ? 16384 : below(random_, 2000);
       client.call(std::move(record), cls.name, std::string(size, 'c'));
     }
   }
   bool all_settled() const {
-    const Millis grace = settings_.answer_grace + kSocketSlack + TurnClock::kLongestTurn;
+    const Millis grace = settings_.answer_grace + kSocketSlack + TurnClock::kMaxTurn;
     for (const auto& [ref, call] : book_.calls) {
-      const bool over = !call.answers.empty() || call.withdrawn || call.cut_off;
-      if (!over && clock_.now() <= call.sent.at + call.allow + grace) return false;
+      const bool over = !call.answers.empty() || call.abandoned || call.closed_by_invoker;
+      if (!over && clock_.now() <= call.sent.at + call.timeout + grace) return false;
     }
     return true;
   }
@@ -173,48 +173,49 @@
 
 std::string to_ms_text(Millis span) { return std::to_string(span.count()) + " ms"; }
 
-Violations calls_without_exactly_one_answer(const CallBook& book) {
+Violations calls_without_exactly_one_answer(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.answers.size() > 1) found.push_back(describe(call, "answered more than once"));
-    if (call.withdrawn || call.answers.size() == 1) continue;
-    if (call.cut_off) found.push_back(describe(call, "its connection was closed without an answer"));
-    if (!call.cut_off && call.answers.empty()) found.push_back(describe(call, "never answered"));
+    if (call.abandoned || call.answers.size() == 1) continue;
+    if (call.closed_by_invoker)
+      found.push_back(describe(call, "its connection was closed without an answer"));
+    if (!call.closed_by_invoker && call.answers.empty()) found.push_back(describe(call, "never answered"));
   }
   return found;
 }
 
-Violations late_answers(const CallBook& book, Millis answer_grace) {
+Violations late_answers(const CallRecords& book, Millis answer_grace) {
   Violations found;
-  const Millis slack = answer_grace + kSocketSlack + TurnClock::kLongestTurn;
+  const Millis slack = answer_grace + kSocketSlack + TurnClock::kMaxTurn;
   for (const auto& [ref, call] : book.calls) {
-    if (call.withdrawn || call.answers.empty()) continue;
-    const Millis late = call.answers[0].came.at - call.sent.at - call.allow;
+    if (call.abandoned || call.answers.empty()) continue;
+    const Millis late = call.answers[0].arrived.at - call.sent.at - call.timeout;
     if (late > slack) found.push_back(describe(call, "answered " + to_ms_text(late) + " after its deadline"));
   }
   return found;
 }
 
 // An answer sent before the invoker has read the cancellation is no violation.
-Violations answers_after_cancellation(const CallBook& book) {
+Violations answers_after_cancellation(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
-    if (!call.withdrawn || call.answers.empty()) continue;
-    const Millis after = call.answers[0].came.at - call.withdrawn->at;
+    if (!call.abandoned || call.answers.empty()) continue;
+    const Millis after = call.answers[0].arrived.at - call.abandoned->at;
     if (after > kMaxTimeAfterCancel)
       found.push_back(describe(call, "answered " + to_ms_text(after) + " after CANCEL"));
   }
   return found;
 }
 
-Violations served_bodies_from_no_host(const CallBook& book) {
+Violations served_bodies_from_no_host(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& answer : call.answers) {
       if (answer.words.size() < 2) {
         found.push_back(describe(call, "an answer with fewer than two words"));
       } else if (answer.words[1] == "OK" &&
-                 (answer.words.size() != 4 || call.bodies_given.count(answer.words[3]) == 0)) {
+                 (answer.words.size() != 4 || call.returned_bodies.count(answer.words[3]) == 0)) {
         found.push_back(describe(call, "served with a body that no host sent"));
       }
     }
@@ -222,7 +223,7 @@
   return found;
 }
 
-Violations retries_after_possible_run(const CallBook& book) {
+Violations retries_after_possible_run(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.semantics != Semantics::once) continue;
@@ -235,7 +236,7 @@
   return found;
 }
 
-Violations refusals_after_possible_run(const CallBook& book) {
+Violations refusals_after_possible_run(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.semantics != Semantics::once || call.answers.empty()) continue;
@@ -250,12 +251,12 @@
 
 // A cancellation and the next attempt use different connections: hosts may read the cancellation later, by at
 // most `kCrossingPolls` polls or `kCrossingTime`.
-Violations overlapping_attempts(const CallBook& book) {
+Violations overlapping_attempts(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (std::size_t i = 0; i + 1 < call.attempts.size(); ++i) {
-      const auto& over = call.attempts[i].over;
-      const Moment& next = call.attempts[i + 1].came;
+      const auto& over = call.attempts[i].ended;
+      const Moment& next = call.attempts[i + 1].arrived;
       const bool ended_in_time =
           over && (over->poll <= next.poll + kCrossingPolls || over->at <= next.at + kCrossingTime);
       if (!ended_in_time) {
@@ -266,7 +267,7 @@
   return found;
 }
 
-Violations calls_with_too_many_attempts(const CallBook& book, int max_attempts) {
+Violations calls_with_too_many_attempts(const CallRecords& book, int max_attempts) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     if (call.attempts.size() > static_cast<std::size_t>(max_attempts)) {
@@ -276,13 +277,13 @@
   return found;
 }
 
-Violations attempts_after_cancellation(const CallBook& book) {
+Violations attempts_after_cancellation(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
-      if (!call.withdrawn) continue;
-      const Millis after = attempt.came.at - call.withdrawn->at;
-      if (after > kMaxTimeAfterCancel + TurnClock::kLongestTurn) {
+      if (!call.abandoned) continue;
+      const Millis after = attempt.arrived.at - call.abandoned->at;
+      if (after > kMaxTimeAfterCancel + TurnClock::kMaxTurn) {
         found.push_back(describe(call, "sent to a host " + to_ms_text(after) + " after its client left"));
       }
     }
@@ -291,24 +292,24 @@
 }
 
 // The attempt of a call whose client left must be ended: cancelled at the host, or its connection closed.
-Violations attempts_kept_after_cancellation(const CallBook& book) {
+Violations attempts_kept_after_cancellation(const CallRecords& book) {
   Violations found;
-  const Millis most = kMaxTimeAfterCancel + kSocketSlack + TurnClock::kLongestTurn;
+  const Millis most = kMaxTimeAfterCancel + kSocketSlack + TurnClock::kMaxTurn;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
-      if (!call.withdrawn || attempt.came.at > call.withdrawn->at) continue;
-      const bool is_over = attempt.over && attempt.over->at <= call.withdrawn->at + most;
+      if (!call.abandoned || attempt.arrived.at > call.abandoned->at) continue;
+      const bool is_over = attempt.ended && attempt.ended->at <= call.abandoned->at + most;
       if (!is_over) found.push_back(describe(call, "an attempt was kept after its client left"));
     }
   }
   return found;
 }
 
-Violations timeouts_longer_than_the_clients(const CallBook& book) {
+Violations timeouts_longer_than_the_clients(const CallRecords& book) {
   Violations found;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& attempt : call.attempts) {
-      const Millis left = call.sent.at + call.allow - attempt.came.at;
+      const Millis left = call.sent.at + call.timeout - attempt.arrived.at;
       if (attempt.timeout > left + kTimeoutSlack) {
         found.push_back(describe(call, "a host received a time-out of " + to_ms_text(attempt.timeout) +
                                            " with " + to_ms_text(left) + " left to the client"));
@@ -319,7 +320,7 @@
 }
 
 // The share of answers that are OK; 0 without answers.
-double share_served(const CallBook& book) {
+double share_served(const CallRecords& book) {
   std::size_t answers = 0, served = 0;
   for (const auto& [ref, call] : book.calls) {
     for (const auto& answer : call.answers) {
@@ -335,10 +336,10 @@
   CAPTURE(seed);
   Session session(seed);
   REQUIRE(session.run());
-  const CallBook& book = session.book();
+  const CallRecords& book = session.book();
   const Violations none;
   CHECK(book.calls.size() == kCalls);
-  CHECK(book.strays == none);
+  CHECK(book.unmatched == none);
   CHECK(calls_without_exactly_one_answer(book) == none);
   CHECK(late_answers(book, session.settings().answer_grace) == none);
   CHECK(answers_after_cancellation(book) == none);
--- a/tests/invoker/support/call_book.h
+++ b/tests/invoker/support/call_book.h
@@ -21,9 +21,9 @@
 /// process do in time is no fault of the code under test.
 class TurnClock {
  public:
-  static constexpr Millis kLongestTurn{15};
+  static constexpr Millis kMaxTurn{15};
   explicit TurnClock(const net::Loop& loop) : loop_(loop), turn_began_(loop.now()) {}
-  Millis now() const { return before_ + std::min(loop_.now() - turn_began_, kLongestTurn); }
+  Millis now() const { return before_ + std::min(loop_.now() - turn_began_, kMaxTurn); }
   void next_turn() {
     before_ = now();
     turn_began_ = loop_.now();
@@ -43,33 +43,33 @@
 /// An exec as its host saw it.
 struct HostAttempt {
   std::size_t host = 0;
-  Moment came;
+  Moment arrived;
   Millis timeout{0};
-  std::string answer;          // the word that the host gave; empty: none
-  std::optional<Moment> over;  // answered, dropped, or its connection closed
+  std::string answer;           // the word that the host gave; empty: none
+  std::optional<Moment> ended;  // answered, dropped, or its connection closed
   bool never_ran() const { return answer == "absent" || answer == "full" || answer == "moot"; }
 };
 
 struct ClientAnswer {
-  Moment came;
+  Moment arrived;
   resp::Words words;
 };
 
 struct CallRecord {
   std::string ref;
   pathstack::policy::Semantics semantics = pathstack::policy::Semantics::once;
-  Millis allow{0};
+  Millis timeout{0};
   Moment sent;
-  std::optional<Moment> withdrawn;  // cancelled, or its client closed the connection
-  bool cut_off = false;             // the invoker closed the connection first
+  std::optional<Moment> abandoned;  // cancelled, or its client closed the connection
+  bool closed_by_invoker = false;   // the invoker closed the connection first
   std::vector<ClientAnswer> answers;
   std::vector<HostAttempt> attempts;
-  std::set<std::string> bodies_given;  // by hosts, with `data`
+  std::set<std::string> returned_bodies;  // by hosts, with `data`
 };
 
-struct CallBook {
+struct CallRecords {
   std::map<std::string, CallRecord> calls;  // by ref
-  std::vector<std::string> strays;          // answers and execs that belong to no call
+  std::vector<std::string> unmatched;       // answers and execs that belong to no call
 };
 
 }  // namespace pathstack::test
--- a/tests/invoker/support/call_client.h
+++ b/tests/invoker/support/call_client.h
@@ -18,8 +18,9 @@
 class CallClient final : public net::Stream {
  public:
   using Now = std::function<Moment()>;
-  CallClient(net::Loop& loop, net::BufferPool& pool, CallBook& book, Now now, const std::string& address)
-      : Stream(loop, pool, net::connect_to(address), true), book_(book), now_(std::move(now)) {}
+  CallClient(net::Loop& loop, net::BufferPool& pool, CallRecords& records, Now now,
+             const std::string& address)
+      : Stream(loop, pool, net::connect_to(address), true), records_(records), now_(std::move(now)) {}
 
   bool closed() const { return closed_; }
   /// True once this client was answered `UP`.
@@ -30,39 +31,39 @@
   void call(CallRecord record, const std::string& class_name, const std::string& body) {
     const std::string tag = std::to_string(++last_tag_);
     const std::string fields =
-        "ref=" + record.ref + ",allow=" + std::to_string(static_cast<int>(record.allow.count())) +
+        "ref=" + record.ref + ",allow=" + std::to_string(static_cast<int>(record.timeout.count())) +
         ",lookup=00000000000000a1,spec=memory_mb:300;lanes:4" +
         (record.semantics == pathstack::policy::Semantics::keyed ? ",replay=k" + record.ref : "");
-    say({"CALL", tag, class_name, fields, body});
+    send_command({"CALL", tag, class_name, fields, body});
     record.sent = now_();
     refs_[tag] = record.ref;
-    book_.calls.emplace(record.ref, std::move(record));
+    records_.calls.emplace(record.ref, std::move(record));
   }
-  /// Takes the open call of the given place back.
-  void cancel(std::size_t place) {
-    const auto found = std::next(refs_.begin(), static_cast<std::ptrdiff_t>(place));
-    say({"CANCEL", found->first});
-    book_.calls.at(found->second).withdrawn = now_();
+  /// Takes the open call of the given index back.
+  void cancel(std::size_t index) {
+    const auto found = std::next(refs_.begin(), static_cast<std::ptrdiff_t>(index));
+    send_command({"CANCEL", found->first});
+    records_.calls.at(found->second).abandoned = now_();
     cancelled_[found->first] = found->second;
     refs_.erase(found);
   }
-  void check() { say({"CHECK", std::to_string(++last_tag_), ""}); }
+  void check() { send_command({"CHECK", std::to_string(++last_tag_), ""}); }
   /// Closes the connection with whatever is open on it.
-  void leave() {
-    for (const auto& [tag, ref] : refs_) book_.calls.at(ref).withdrawn = now_();
+  void disconnect() {
+    for (const auto& [tag, ref] : refs_) records_.calls.at(ref).abandoned = now_();
     refs_.clear();
     end_later();
   }
 
  private:
-  CallBook& book_;
+  CallRecords& records_;
   Now now_;
   resp::Parser parser_;
   std::map<std::string, std::string> refs_, cancelled_, answered_;  // by tag
   std::uint64_t last_tag_ = 0;
   bool closed_ = false, up_ = false;
 
-  void say(const std::vector<std::string_view>& words) {
+  void send_command(const std::vector<std::string_view>& words) {
     std::string out;
     resp::write_array(out, words);
     write(out);
@@ -71,9 +72,9 @@
   void received(std::string_view bytes) override {
     std::vector<resp::Words> answers;
     REQUIRE(parser_.take(bytes, answers));
-    for (auto& words : answers) take(std::move(words));
+    for (auto& words : answers) record_answer(std::move(words));
   }
-  void take(resp::Words&& words) {
+  void record_answer(resp::Words&& words) {
     const auto open = refs_.find(words.at(0));
     const auto cancelled = cancelled_.find(words[0]);
     if (words.size() == 2 && words[1] == "UP") {
@@ -82,18 +83,18 @@
       const std::string ref = open->second;
       refs_.erase(open);
       answered_[words[0]] = ref;
-      book_.calls.at(ref).answers.push_back({now_(), std::move(words)});
+      records_.calls.at(ref).answers.push_back({now_(), std::move(words)});
     } else if (cancelled != cancelled_.end()) {
-      book_.calls.at(cancelled->second).answers.push_back({now_(), std::move(words)});
+      records_.calls.at(cancelled->second).answers.push_back({now_(), std::move(words)});
     } else if (const auto answered = answered_.find(words[0]); answered != answered_.end()) {
-      book_.calls.at(answered->second).answers.push_back({now_(), std::move(words)});
+      records_.calls.at(answered->second).answers.push_back({now_(), std::move(words)});
     } else {
-      book_.strays.push_back("answer under tag " + words[0]);
+      records_.unmatched.push_back("answer under tag " + words[0]);
     }
   }
   void ended() override {
     closed_ = true;
-    for (const auto& [tag, ref] : refs_) book_.calls.at(ref).cut_off = true;
+    for (const auto& [tag, ref] : refs_) records_.calls.at(ref).closed_by_invoker = true;
     refs_.clear();
   }
 };
--- a/tests/invoker/support/random_host.h
+++ b/tests/invoker/support/random_host.h
@@ -18,12 +18,12 @@
 
 namespace pathstack::test {
 
-/// Records its attempts in a `CallBook`, at times of the given clock. `seed` determines the choice of
+/// Records its attempts in a `CallRecords`, at times of the given clock. `seed` determines the choice of
 /// reactions.
 class RandomHost {
  public:
   using Now = std::function<Moment()>;
-  RandomHost(net::Loop& loop, net::BufferPool& pool, CallBook& book, Now now, std::size_t number,
+  RandomHost(net::Loop& loop, net::BufferPool& pool, CallRecords& book, Now now, std::size_t number,
              std::uint64_t seed)
       : server(loop, pool, *this), book_(book), now_(std::move(now)), number_(number), random_(seed) {}
 
@@ -61,12 +61,12 @@
     }
     void exec(const hosts::Reply& line) {
       const auto found = host_.book_.calls.find(line.word);
-      if (found == host_.book_.calls.end()) return host_.book_.strays.push_back("exec " + line.word);
+      if (found == host_.book_.calls.end()) return host_.book_.unmatched.push_back("exec " + line.word);
       const auto fields = net::parse_fields(line.fields);
       REQUIRE(fields);
       HostAttempt attempt;
       attempt.host = host_.number_;
-      attempt.came = host_.now_();
+      attempt.arrived = host_.now_();
       attempt.timeout = Millis(std::stod(net::field(*fields, "patience")));
       const std::size_t index = found->second.attempts.size();
       open_[line.word] = index;
@@ -99,7 +99,7 @@
     }
     void write_answer(const std::string& ref, const std::string& word) {
       const std::string body = word == "data" ? ref + std::string(below(host_.random_, 3000), 'b') : "";
-      if (word == "data") host_.book_.calls.at(ref).bodies_given.insert(body);
+      if (word == "data") host_.book_.calls.at(ref).returned_bodies.insert(body);
       write(ref + ' ' + word + " l=inflight:1;util:0.5 " + std::to_string(body.size()) + "\r\n" + body +
             "\r\n");
     }
@@ -108,7 +108,7 @@
       if (found == open_.end()) return;
       HostAttempt& attempt = host_.book_.calls.at(ref).attempts[found->second];
       attempt.answer = word;
-      attempt.over = host_.now_();
+      attempt.ended = host_.now_();
       open_.erase(found);
     }
     void reset() {
@@ -125,7 +125,7 @@
   void gone(Peer& peer) { server.gone(peer); }
 
  private:
-  CallBook& book_;
+  CallRecords& book_;
   Now now_;
   std::size_t number_;
   Random random_;
