--- a/src/resp/request_decoder.cpp
+++ b/src/resp/request_decoder.cpp
@@ -13,7 +13,7 @@
 using net::Fields;
 
 constexpr std::uint64_t kMaxTimeoutMs = std::uint64_t{3600} * 1000;
-constexpr std::size_t kClassWord = 2, kFieldsWord = 3, kBodyWord = 4;
+constexpr std::size_t kClassIndex = 2, kFieldsIndex = 3, kBodyIndex = 4;
 // What ends a field, or the line, on a worker's connection, where the idempotency key is passed on unchanged.
 constexpr char kFieldTerminators[] = " ,=\r\n";
 
@@ -34,8 +34,8 @@
   if (!function) return RequestError::bad_function;
   call.function = *function;
   call.idempotency_key = field(fields, "replay");
-  const bool terminated = call.idempotency_key.find_first_of(kFieldTerminators) != std::string::npos;
-  if (terminated) return RequestError::bad_idempotency_key;
+  const bool has_terminator = call.idempotency_key.find_first_of(kFieldTerminators) != std::string::npos;
+  if (has_terminator) return RequestError::bad_idempotency_key;
   call.tenant = field(fields, "project");
   call.retry = field(fields, "dup") == "1";
   return std::nullopt;
@@ -74,15 +74,15 @@
 }
 
 std::variant<core::Call, RequestError> decode_call(Words& words) {
-  if (words.size() <= kFieldsWord || words.size() > kBodyWord + 1) return RequestError::wrong_word_count;
-  const auto fields = net::parse_fields(words[kFieldsWord]);
+  if (words.size() <= kFieldsIndex || words.size() > kBodyIndex + 1) return RequestError::wrong_word_count;
+  const auto fields = net::parse_fields(words[kFieldsIndex]);
   if (!fields) return RequestError::bad_field_list;
   core::Call call;
-  call.class_name = words[kClassWord];
+  call.class_name = words[kClassIndex];
   if (const auto error = decode_identity(*fields, call)) return *error;
   if (const auto error = decode_numbers(*fields, call)) return *error;
   if (const auto error = decode_resources(field(*fields, "spec"), call)) return *error;
-  if (words.size() > kBodyWord) call.body = std::move(words[kBodyWord]);
+  if (words.size() > kBodyIndex) call.body = std::move(words[kBodyIndex]);
   return call;
 }
 
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -17,13 +17,13 @@
 namespace pathstack::test {
 namespace {
 
-constexpr int kMostTurns = 1500;  // of 20 ms at most
-constexpr char kGarbage[] = "garbage\r\n";
+constexpr int kMaxTurns = 1500;  // of 20 ms at most
+constexpr char kMalformedBytes[] = "garbage\r\n";
 
-struct Platform {
+struct FrontHarness {
   World world{1};
   resp::Front front;
-  explicit Platform(const resp::Front::Limits& limits = {})
+  explicit FrontHarness(const resp::Front::Limits& limits = {})
       : front(world.loop, world.pool, world.dispatcher, world.counters, limits) {
     REQUIRE(front.listen("127.0.0.1:0"));
   }
@@ -31,13 +31,15 @@
   std::uint64_t count(core::Counter counter) const { return world.counters.value(counter); }
   template <typename Until>
   bool turn_until(const Until& until) {
-    return world.turn_until(until, kMostTurns);
+    return world.turn_until(until, kMaxTurns);
   }
   void keep_host_silent() {
     host().react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   }
   // The host's answer to a call whose `exec` it left unanswered.
-  void serve(const std::string& ref) { host().server.peers.front()->write(ref + " data - 1\r\nx\r\n"); }
+  void answer_from_host(const std::string& ref) {
+    host().server.peers.front()->write(ref + " data - 1\r\nx\r\n");
+  }
 };
 
 std::string request(const std::vector<std::string_view>& words) {
@@ -69,8 +71,8 @@
     if (sent > 0) unsent.erase(0, static_cast<std::size_t>(sent));
     return unsent.empty();
   }
-  void send_all(Platform& platform, std::string bytes) const {
-    REQUIRE(platform.turn_until([&] { return send_some(bytes); }));
+  void send_all(FrontHarness& harness, std::string bytes) const {
+    REQUIRE(harness.turn_until([&] { return send_some(bytes); }));
   }
   State read() {
     std::vector<char> block(std::size_t{64} * 1024);
@@ -83,18 +85,18 @@
     }
     return state_;
   }
-  State read_to_end(Platform& platform) {
-    platform.turn_until([&] { return read() != State::open; });
+  State read_to_end(FrontHarness& harness) {
+    harness.turn_until([&] { return read() != State::open; });
     return state_;
   }
-  bool has_answer(Platform& platform, const std::string& tag) {
-    return platform.turn_until([&] {
+  bool has_answer(FrontHarness& harness, const std::string& tag) {
+    return harness.turn_until([&] {
       read();
-      return !word_of(tag).empty();
+      return !status_of(tag).empty();
     });
   }
   // The word of the answer under a tag, or nothing.
-  std::string word_of(const std::string& tag) const {
+  std::string status_of(const std::string& tag) const {
     const auto same = [&](const resp::Words& answer) { return answer[0] == tag; };
     const auto found = std::find_if(answers_.begin(), answers_.end(), same);
     return found == answers_.end() ? std::string() : found->at(1);
@@ -115,41 +117,41 @@
     core::Counter counter;
     std::string bytes;
   };
-  const auto fault = GENERATE(Fault{core::Counter::resp_malformed, kGarbage},
+  const auto fault = GENERATE(Fault{core::Counter::resp_malformed, kMalformedBytes},
                               Fault{core::Counter::resp_no_tag, request({"CALL", "0"})},
                               Fault{core::Counter::resp_no_tag, request({"CALL"})},
                               Fault{core::Counter::resp_tag_repeated, call("2", "y")});
   const bool same_write = GENERATE(true, false);
-  Platform p;
+  FrontHarness p;
   p.keep_host_silent();
   RawClient client(p.front.address());
-  const std::string calls = call("1") + call("2"), behind = fault.bytes + call("3");
-  client.send_all(p, same_write ? calls + behind : calls);
+  const std::string calls = call("1") + call("2"), after_fault = fault.bytes + call("3");
+  client.send_all(p, same_write ? calls + after_fault : calls);
   if (!same_write) {
     REQUIRE(p.turn_until([&] { return p.host().execs == 2; }));
-    client.send_all(p, behind);
+    client.send_all(p, after_fault);
   }
   REQUIRE(p.turn_until([&] { return p.count(fault.counter) == 1 && p.host().execs >= 1; }));
   CHECK(client.read() == State::open);
-  p.serve(ref_of("1"));
+  p.answer_from_host(ref_of("1"));
   const bool repeated = fault.counter == core::Counter::resp_tag_repeated;
   if (!repeated) {
     REQUIRE(p.turn_until([&] { return p.host().execs == 2; }));
-    p.serve(ref_of("2"));
+    p.answer_from_host(ref_of("2"));
   }
   CHECK(client.read_to_end(p) == State::closed_in_order);
-  CHECK(client.word_of("1") == "OK");
+  CHECK(client.status_of("1") == "OK");
   // Which of the two calls an OK would be for could not be determined.
-  CHECK(client.word_of("2") == (repeated ? "FAILED" : "OK"));
+  CHECK(client.status_of("2") == (repeated ? "FAILED" : "OK"));
   CHECK(client.answers().size() == 2);
   CHECK(p.host().execs <= 2);
   CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 TEST_CASE("an answer that waits to be written when a fault is read is written before the connection ends") {
-  Platform p;
+  FrontHarness p;
   RawClient client(p.front.address());
-  const std::string fault = GENERATE(std::string(kGarbage), request({"CHECK"}));
+  const std::string fault = GENERATE(std::string(kMalformedBytes), request({"CHECK"}));
   client.send_all(p, request({"CHECK", "1", ""}) + fault + request({"CHECK", "2", ""}));
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.answers() == std::vector<resp::Words>{{"1", "UP"}});
@@ -157,7 +159,7 @@
 
 TEST_CASE("a client beyond the limit of faults gets the answers of its open calls") {
   constexpr int kBadCalls = 65;
-  Platform p;
+  FrontHarness p;
   p.keep_host_silent();
   RawClient client(p.front.address());
   std::string bytes = call("1");
@@ -165,9 +167,9 @@
   client.send_all(p, bytes + call("2"));
   REQUIRE(
       p.turn_until([&] { return p.count(core::Counter::resp_faults_closed) == 1 && p.host().execs == 1; }));
-  p.serve(ref_of("1"));
+  p.answer_from_host(ref_of("1"));
   CHECK(client.read_to_end(p) == State::closed_in_order);
-  CHECK(client.word_of("1") == "OK");
+  CHECK(client.status_of("1") == "OK");
   CHECK(client.answers().size() == 1 + kBadCalls);
   CHECK(p.host().execs == 1);
 }
@@ -175,10 +177,10 @@
 // Guards reading on after a fault: a connection that is not read any more would not show that its client
 // left.
 TEST_CASE("a client that closes after a fault has its attempt dropped") {
-  Platform p;
+  FrontHarness p;
   p.keep_host_silent();
   RawClient client(p.front.address());
-  client.send_all(p, call("1") + kGarbage);
+  client.send_all(p, call("1") + kMalformedBytes);
   REQUIRE(p.turn_until([&] { return p.count(core::Counter::resp_malformed) == 1 && p.host().execs == 1; }));
   CHECK(client.read() == State::open);
   client.close();
@@ -190,11 +192,11 @@
 TEST_CASE("calls that are open for long after a fault are failed, so that the connection can end") {
   resp::Front::Limits limits;
   limits.rejected_timeout = Millis(50);
-  Platform p(limits);
+  FrontHarness p(limits);
   p.keep_host_silent();
   RawClient client(p.front.address());
   const Millis began = p.world.loop.now();
-  client.send_all(p, call("1") + kGarbage);
+  client.send_all(p, call("1") + kMalformedBytes);
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.answers() == std::vector<resp::Words>{{"1", "FAILED"}});
   CHECK(p.turn_until([&] { return p.host().cancels == 1; }));
@@ -203,13 +205,13 @@
 
 TEST_CASE("answers arrive whole at a client that reads late and goes on sending behind a fault") {
   constexpr int kCalls = 30;
-  Platform p;
+  FrontHarness p;
   RawClient client(p.front.address());
   client.limit_receive_buffer(4096);
   const std::string body(16000, 'x');
   std::string bytes;
   for (int i = 1; i <= kCalls; ++i) bytes += call(std::to_string(i), body);
-  client.send_all(p, bytes + kGarbage);
+  client.send_all(p, bytes + kMalformedBytes);
   // More than is read of one connection in a turn.
   client.send_all(p, std::string(net::Stream::kLingerMaxBytes / 2, 'x'));
   REQUIRE(p.turn_until([&] { return p.world.dispatcher.open_calls() == 0 && p.host().execs == kCalls; }));
@@ -239,9 +241,9 @@
 TEST_CASE("a client that floods its connection after the last answer is cut off") {
   ReceiveCounter calls;
   const net::ScopedSystemCalls scoped(calls);
-  Platform p;
+  FrontHarness p;
   RawClient client(p.front.address());
-  client.send_all(p, request({"CHECK", "1", ""}) + kGarbage);
+  client.send_all(p, request({"CHECK", "1", ""}) + kMalformedBytes);
   REQUIRE(client.has_answer(p, "1"));
   std::string flood;
   CHECK(p.turn_until([&] {
@@ -255,9 +257,9 @@
 }
 
 TEST_CASE("a client that does not close after the last answer is closed after a while") {
-  Platform p;
+  FrontHarness p;
   RawClient client(p.front.address());
-  client.send_all(p, request({"CHECK", "1", ""}) + kGarbage);
+  client.send_all(p, request({"CHECK", "1", ""}) + kMalformedBytes);
   REQUIRE(client.read_to_end(p) == State::closed_in_order);
   CHECK_FALSE(p.front.closed());
   CHECK(p.turn_until([&] { return p.front.closed(); }));
@@ -267,13 +269,13 @@
   constexpr int kClients = 5;
   resp::Front::Limits limits;
   limits.max_closing = 2;
-  Platform p(limits);
+  FrontHarness p(limits);
   std::list<RawClient> clients;
   for (int i = 0; i < kClients; ++i) {
     clients.emplace_back(p.front.address());
-    clients.back().send_all(p, request({"CHECK", "1", ""}) + kGarbage);
+    clients.back().send_all(p, request({"CHECK", "1", ""}) + kMalformedBytes);
     REQUIRE(clients.back().read_to_end(p) == State::closed_in_order);
-    CHECK(clients.back().word_of("1") == "UP");
+    CHECK(clients.back().status_of("1") == "UP");
   }
   CHECK(p.count(core::Counter::resp_linger_cut) == kClients - 2);
 }
@@ -281,16 +283,16 @@
 TEST_CASE("a health check on a connection for which there is no place is answered") {
   resp::Front::Limits limits;
   limits.max_active = 1;
-  Platform p(limits);
+  FrontHarness p(limits);
   p.keep_host_silent();
-  RawClient usual(p.front.address());
-  usual.send_all(p, call("1"));
+  RawClient active(p.front.address());
+  active.send_all(p, call("1"));
   REQUIRE(p.turn_until([&] { return p.host().execs == 1; }));
   RawClient late(p.front.address());
   late.send_all(p, request({"CHECK", "1", ""}) + call("2"));
   CHECK(late.read_to_end(p) == State::closed_in_order);
   CHECK(late.answers() == std::vector<resp::Words>{{"1", "UP"}, {"2", "BUSY"}});
-  CHECK(usual.read() == State::open);
+  CHECK(active.read() == State::open);
 }
 
 // Hides from the event loop that the connection accepted first has become readable.
@@ -320,7 +322,7 @@
   const net::ScopedSystemCalls scoped(calls);
   resp::Front::Limits limits;
   limits.max_active = 2;
-  Platform p(limits);
+  FrontHarness p(limits);
   RawClient first(p.front.address());
   first.send_all(p, request({"CHECK", "1", ""}));
   REQUIRE(first.has_answer(p, "1"));
@@ -339,7 +341,7 @@
 
 TEST_CASE("closing all connections sends what waits to be written, whatever the clients go on sending") {
   constexpr int kCalls = 30;
-  Platform p;
+  FrontHarness p;
   RawClient client(p.front.address());
   client.limit_receive_buffer(4096);
   std::string bytes;
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -177,15 +177,15 @@
 
 TEST_CASE("a connection that says nothing, or half a request, is closed; one that has asked may stay") {
   FrontFixture p(1);
-  Client usual(p.world, p.front.address()), silent(p.world, p.front.address()),
+  Client active(p.world, p.front.address()), silent(p.world, p.front.address()),
       half(p.world, p.front.address()), later(p.world, p.front.address());
-  usual.send_command({"CHECK", "1"});
+  active.send_command({"CHECK", "1"});
   later.send_command({"CHECK", "1"});
-  REQUIRE((usual.answer("1") != nullptr && later.answer("1") != nullptr));
+  REQUIRE((active.answer("1") != nullptr && later.answer("1") != nullptr));
   half.write("*3\r\n$5\r\nCHE");
   later.write("*3\r\n$5\r\nCHE");
   CHECK(p.world.turn_until([&] { return silent.closed && half.closed && later.closed; }, 20000));
-  CHECK_FALSE(usual.closed);
+  CHECK_FALSE(active.closed);
   CHECK(p.world.counters.value(core::Counter::resp_no_request) == 2);
   CHECK(p.world.counters.value(core::Counter::resp_half_request) == 1);
 }
@@ -249,15 +249,15 @@
 TEST_CASE("a client that reads nothing pays for the buffers that its answers take, not whoever writes next") {
   constexpr std::size_t kBuffers = 40;
   FrontFixture p(1, {}, kBuffers);
-  Client usual(p.world, p.front.address());
-  usual.send_command({"CHECK", "1", ""});
-  REQUIRE(usual.answer("1") != nullptr);
-  const net::Socket deaf = net::connect_to(p.front.address());
+  Client active(p.world, p.front.address());
+  active.send_command({"CHECK", "1", ""});
+  REQUIRE(active.answer("1") != nullptr);
+  const net::Socket non_reader = net::connect_to(p.front.address());
   const std::string body(16000, 'x');
   std::string unsent;
   std::uint64_t calls = 0;
   // Asks for a few answers at a time and never reads one, until they have used up the buffers.
-  const auto used_up = [&] {
+  const auto buffers_used_up = [&] {
     if (unsent.empty() && p.world.dispatcher.open_calls() == 0) {
       for (int i = 0; i < 4; ++i) {
         const std::string fields =
@@ -265,17 +265,17 @@
         resp::write_array(unsent, {"CALL", std::to_string(calls), "bin-check", fields, body});
       }
     }
-    const ssize_t sent = send(deaf.fd(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
+    const ssize_t sent = send(non_reader.fd(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
     if (sent > 0) unsent.erase(0, static_cast<std::size_t>(sent));
     return p.world.pool.blocks_in_use() + 2 >= kBuffers;
   };
-  REQUIRE(p.world.turn_until(used_up, 20000));
+  REQUIRE(p.world.turn_until(buffers_used_up, 20000));
   for (int i = 2; i <= 6; ++i) {
-    usual.call(std::to_string(i), "bin-record", body);
-    REQUIRE(usual.answer(std::to_string(i)) != nullptr);
-    CHECK(usual.answer(std::to_string(i))->at(1) == "OK");
+    active.call(std::to_string(i), "bin-record", body);
+    REQUIRE(active.answer(std::to_string(i)) != nullptr);
+    CHECK(active.answer(std::to_string(i))->at(1) == "OK");
   }
-  CHECK_FALSE(usual.closed);
+  CHECK_FALSE(active.closed);
   CHECK(p.world.counters.value(core::Counter::resp_unread_closed) == 1);
 }
 
@@ -283,16 +283,16 @@
   resp::Front::Limits limits;
   limits.max_active = limits.max_pending = 4;
   FrontFixture p(1, limits);
-  Client usual(p.world, p.front.address());
-  usual.send_command({"CHECK", "1"});
-  REQUIRE(usual.answer("1") != nullptr);
+  Client active(p.world, p.front.address());
+  active.send_command({"CHECK", "1"});
+  REQUIRE(active.answer("1") != nullptr);
   std::list<Client> silent;
   for (int i = 0; i < 40; ++i) silent.emplace_back(p.world, p.front.address());
   Client late(p.world, p.front.address());
   late.call("1", "bin-check", "x");
   REQUIRE(late.answer("1") != nullptr);
   CHECK(late.answer("1")->at(1) == "OK");
-  CHECK_FALSE(usual.closed);
+  CHECK_FALSE(active.closed);
   CHECK(p.world.counters.value(core::Counter::resp_silent_closed) >= 36);
 }
 
--- a/tests/invoker/resp_request_decoder_test.cpp
+++ b/tests/invoker/resp_request_decoder_test.cpp
@@ -75,28 +75,30 @@
 }
 
 TEST_CASE("a call that cannot be understood gives the reason") {
-  struct Fault {
+  struct InvalidCall {
     std::string fields;
     RequestError error;
   };
-  const std::string sound = kIdentity + ",allow=1400";
-  const auto fault = GENERATE_COPY(
-      Fault{"ref", RequestError::bad_field_list}, Fault{sound + ",allow=1400", RequestError::bad_field_list},
-      Fault{"lookup=00000000000000a1,allow=1400", RequestError::bad_ref},
-      Fault{"ref=b1,lookup=00000000000000a1,allow=1400", RequestError::bad_ref},
-      Fault{"ref=00000000000000b1,allow=1400", RequestError::bad_function},
-      Fault{"ref=00000000000000b1,lookup=a1,allow=1400", RequestError::bad_function},
-      Fault{kIdentity, RequestError::bad_timeout}, Fault{kIdentity + ",allow=-1", RequestError::bad_timeout},
-      Fault{kIdentity + ",allow=3600001", RequestError::bad_timeout},
-      Fault{sound + ",spec=x", RequestError::bad_resources},
-      Fault{sound + ",spec=memory_mb:x", RequestError::bad_resources},
-      Fault{sound + ",spec=lanes:1.5", RequestError::bad_resources},
-      Fault{sound + ",spec=lanes:2147483648", RequestError::bad_resources},
-      Fault{sound + ",replay=a b", RequestError::bad_idempotency_key},
-      Fault{sound + ",replay=a\r\n", RequestError::bad_idempotency_key},
-      Fault{sound + ",effort=x", RequestError::bad_effort});
-  CAPTURE(fault.fields);
-  CHECK(call_error(call_with(fault.fields)) == fault.error);
+  const std::string valid = kIdentity + ",allow=1400";
+  const auto invalid =
+      GENERATE_COPY(InvalidCall{"ref", RequestError::bad_field_list},
+                    InvalidCall{valid + ",allow=1400", RequestError::bad_field_list},
+                    InvalidCall{"lookup=00000000000000a1,allow=1400", RequestError::bad_ref},
+                    InvalidCall{"ref=b1,lookup=00000000000000a1,allow=1400", RequestError::bad_ref},
+                    InvalidCall{"ref=00000000000000b1,allow=1400", RequestError::bad_function},
+                    InvalidCall{"ref=00000000000000b1,lookup=a1,allow=1400", RequestError::bad_function},
+                    InvalidCall{kIdentity, RequestError::bad_timeout},
+                    InvalidCall{kIdentity + ",allow=-1", RequestError::bad_timeout},
+                    InvalidCall{kIdentity + ",allow=3600001", RequestError::bad_timeout},
+                    InvalidCall{valid + ",spec=x", RequestError::bad_resources},
+                    InvalidCall{valid + ",spec=memory_mb:x", RequestError::bad_resources},
+                    InvalidCall{valid + ",spec=lanes:1.5", RequestError::bad_resources},
+                    InvalidCall{valid + ",spec=lanes:2147483648", RequestError::bad_resources},
+                    InvalidCall{valid + ",replay=a b", RequestError::bad_idempotency_key},
+                    InvalidCall{valid + ",replay=a\r\n", RequestError::bad_idempotency_key},
+                    InvalidCall{valid + ",effort=x", RequestError::bad_effort});
+  CAPTURE(invalid.fields);
+  CHECK(call_error(call_with(invalid.fields)) == invalid.error);
 }
 
 TEST_CASE("a call has four words, and five with a body") {
