--- a/src/resp/call_table.h
+++ b/src/resp/call_table.h
@@ -1,4 +1,4 @@
-// The open calls of all clients.
+/// The table of open calls of all clients.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,29 @@
 
 namespace pathstack::resp {
 
-/// Where the answer of a call goes.
+/// The connection and tag that an answer is sent to, and the size of the call's body.
 struct OpenCall {
   Connection* connection = nullptr;
   std::string tag;
   std::size_t body_bytes = 0;
 };
 
-/// Finds the connection and tag of a call, and sums up the bodies. Used by the front on the loop's thread.
+/// Maps call ids to connections and tags, and keeps the total size of the bodies. Used by the front on the
+/// thread of the event loop.
 ///
-/// What must hold: a call stands here exactly as long as its tag is open on its connection, and is removed
-/// before the connection is destroyed. Cost: constant.
+/// Invariant: a call is in the table exactly as long as its tag is registered with its connection, and is
+/// removed before the connection is destroyed. All operations take constant time on average.
 class CallTable {
  public:
+  /// Adds the call and registers its tag with the connection. Neither may be in use.
   void add(core::CallId id, OpenCall call) {
     call.connection->add_call(call.tag, id);
     body_bytes_ += call.body_bytes;
     calls_[id] = std::move(call);
   }
 
-  /// The call as it was; nothing if it is not open: cancelled, answered, or its client has closed.
+  /// Removes and returns the call. Empty if the call is not open: cancelled, answered, or its client has
+  /// closed the connection.
   std::optional<OpenCall> remove(core::CallId id) {
     const auto found = calls_.find(id);
     if (found == calls_.end()) return std::nullopt;
@@ -43,6 +46,7 @@
   }
 
   std::size_t size() const { return calls_.size(); }
+  /// Total size of the bodies of all open calls.
   std::size_t body_bytes() const { return body_bytes_; }
 
  private:
--- a/src/resp/connection.cpp
+++ b/src/resp/connection.cpp
@@ -7,11 +7,11 @@
 namespace pathstack::resp {
 namespace {
 
-constexpr std::size_t kMaxRejectedCalls = 64;      // of one connection
-constexpr std::size_t kMaxUnreadBytes = 1U << 20;  // answers that a client has not read
+constexpr std::size_t kMaxRejectedCalls = 64;      // per connection
+constexpr std::size_t kMaxUnreadBytes = 1U << 20;  // replies not written to the socket yet, per connection
 
-// Drops calls that are cancelled in the very bytes they came in: each would cost a worker something, and a
-// client may send hundreds at once. Gives their number.
+// Drops calls whose cancellation was read together with them, and returns their number. Each would cause work
+// on a host, and a client can send hundreds of such calls at once.
 std::size_t drop_cancelled_calls(std::vector<Words>& requests,
                                  const std::unordered_map<std::string, core::CallId>& open_calls) {
   std::unordered_set<std::string> cancelled;
@@ -20,7 +20,7 @@
     if (words[0] == "CANCEL") cancelled.insert(words[1]);
     return words[0] == "CALL" && open_calls.count(words[1]) == 0 && cancelled.count(words[1]) != 0;
   };
-  // From the last to the first, so that a cancellation is seen before its call.
+  // Iterates in reverse, so that a cancellation is found before the call that it refers to.
   const auto kept_end = std::remove_if(requests.rbegin(), requests.rend(), is_cancelled);
   const auto dropped = static_cast<std::size_t>(requests.rend() - kept_end);
   requests.erase(requests.begin(), kept_end.base());
@@ -64,7 +64,8 @@
 
 void Connection::reply(std::string_view bytes) {
   write(bytes);
-  // Guards the pool against a client that does not read. What it has open adds a bounded number of answers.
+  // Protects the buffer pool from clients that do not read. The open calls of such a client can still add a
+  // bounded number of answers.
   const std::size_t unread = outbox().appended() - outbox().written();
   if (unread <= kMaxUnreadBytes || discards_input()) return;
   counters_.add(core::Counter::resp_unread_closed);
@@ -86,9 +87,9 @@
 }
 
 void Connection::close() {
-  if (outbox().appended() == 0) return end_later();  // no answer that a reset could overtake
+  if (outbox().appended() == 0) return end_later();  // nothing was sent that a reset could discard
   end_when_written();
-  // A client that does not read its answers does not keep the descriptor either.
+  // Bounds the time for which a client that does not read its answers holds the descriptor.
   restart_timer(limits_.request_timeout, [this] { end_later(); });
   observer_.on_closing(*this);
 }
@@ -98,31 +99,34 @@
   request_timer_ = loop().at(loop().now() + delay, std::move(callback));
 }
 
-// Half a request, or none, would hold a descriptor for good.
+// Without the timer, a client that sends a partial request or none would hold a descriptor indefinitely.
 void Connection::restart_request_timer() {
   restart_timer(limits_.request_timeout, [this] { on_request_overdue(); });
 }
 
-// Each begun request has a timer of its own: the next one's time starts with its own first byte.
+// Starts, restarts or cancels the timer after input. The time limit of each request runs from the input that
+// contains its first byte; only for the first request of a connection does it run from the accept.
 void Connection::update_request_timer(bool request_complete) {
   const bool partial = parser_.has_partial_message();
   if (awaits_request_ && (request_complete || !partial)) {
     loop().cancel(request_timer_);
     request_overdue_ = false;
-    keep_open();  // the rest has come in the very turn in which the last open call was answered
+    keep_open();  // the request became complete in the turn in which the last open call was answered
   }
   if (partial && (!awaits_request_ || request_complete)) restart_request_timer();
   awaits_request_ = partial || !has_sent_request_;
 }
 
-// What is open still gets its answer, and until then the rest may still come.
+// Open calls still get their answers. Until then the connection stays open, and the rest of the request is
+// accepted.
 void Connection::on_request_overdue() {
   counters_.add(has_sent_request_ ? core::Counter::resp_half_request : core::Counter::resp_no_request);
   if (open_calls_.empty()) return close();
   request_overdue_ = true;
 }
 
-// What is read in a later turn than the first bytes did not wait for the connection to be accepted.
+// Input that is read in a later turn than the first bytes did not wait for the accept of the connection, so
+// `waiting_since_` no longer applies.
 void Connection::update_arrival_time() {
   const core::Millis turn = loop().turn_began();
   if (!first_read_) first_read_ = turn;
@@ -144,7 +148,7 @@
   const std::size_t dropped = drop_cancelled_calls(requests, open_calls_);
   if (dropped > 0) counters_.add(core::Counter::resp_taken_back, dropped);
   for (auto& words : requests) {
-    if (rejected_ || ending()) return;  // what came behind a fault is not begun
+    if (rejected_ || ending()) return;  // requests after a protocol error are ignored
     observer_.on_request(*this, std::move(words));
   }
   if (well_formed) return;
--- a/src/resp/connection.h
+++ b/src/resp/connection.h
@@ -1,4 +1,4 @@
-// One client's connection.
+/// The connection of one client.
 #pragma once
 
 #include <functional>
@@ -22,65 +22,78 @@
 class Connection;
 using ConnectionList = std::list<std::shared_ptr<Connection>>;
 
-/// Gets the requests and the end of a `Connection`. All methods run on the loop's thread.
+/// Receives the requests and the end of a `Connection`. All methods are called on the thread of the event
+/// loop.
 class ConnectionObserver {
  public:
   virtual ~ConnectionObserver() = default;
-  /// Complete requests were read. False if there is no capacity for the connection: `on_refused` follows.
+  /// Called when complete requests were read. Returns false if there is no capacity for the connection;
+  /// `on_refused` is called next in that case.
   virtual bool on_requests_read(Connection& connection) = 0;
-  /// Nothing of `requests` may be begun; the observer answers them and ends the connection.
+  /// Called with requests that must not be processed. The observer replies to them and ends the connection.
   virtual void on_refused(Connection& connection, const std::vector<Words>& requests) = 0;
+  /// Called for each request, in the order in which they were received.
   virtual void on_request(Connection& connection, Words&& words) = 0;
-  /// Calls are still open `Limits::rejected_timeout` after the client broke the protocol.
+  /// Called if calls are still open `Limits::rejected_timeout` after the input of the connection was
+  /// rejected.
   virtual void on_answers_overdue(Connection& connection) = 0;
-  /// The connection was sent, or will be, all that it is owed, and waits for the client's close.
+  /// Called when no further replies will follow: the connection writes pending bytes, then waits for the
+  /// client to close.
   virtual void on_closing(Connection& connection) = 0;
-  /// The socket is closed. The observer keeps the object alive to the end of the turn.
+  /// Called when the socket is closed. The observer must keep the connection alive until the end of the turn.
   virtual void on_closed(Connection& connection) = 0;
 };
 
-/// Owns a client's socket, its parser, the timer of its request and the tags of its open calls.
+/// Owns the socket of a client, the parser, the request timer and the tags of open calls.
 ///
-/// What must hold: every call that was read gets its final answer before the connection ends, unless the
-/// client closes first; and no client keeps a descriptor by sending half a request, or by not reading. Used
-/// by the front on the loop's thread. Cost: the bytes read and written.
+/// Every call that was read gets its final answer before the connection ends, unless the client closes first.
+/// Time limits keep clients that send partial requests, or do not read, from holding a descriptor. Used by
+/// the front on the thread of the event loop.
 class Connection final : public net::Stream {
  public:
-  /// All references have to outlive the connection.
+  /// All references must outlive the connection.
   Connection(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Limits& limits,
              ConnectionObserver& observer, net::Socket socket);
   ~Connection() override;
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// True if closing it loses no request, but for one that crosses the close. Cost: one poll(2).
+  /// True if closing the connection loses no request, except one that arrives while it is being closed. Cost:
+  /// one poll(2) at most.
   bool is_idle() const;
-  /// A request has come in part.
+  /// True if a request has been received in part.
   bool has_partial_request() const { return parser_.has_partial_message(); }
+  /// True once the client has sent a complete request.
   bool has_sent_request() const { return has_sent_request_; }
 
-  /// Its first bytes may have come at any time since then, while connections could not be accepted.
+  /// Sets the time since when the first input may have been waiting, as connections could not be accepted.
   void set_waiting_since(core::Millis time) { waiting_since_ = time; }
-  /// When what is read now had come at the earliest. Time spent on what was read before counts, too.
+  /// The time from which the timeouts of calls in the input being processed run: since when the input may have
+  /// been waiting, or else the start of the turn. Time that the turn spent on earlier input counts, too.
   core::Millis arrival_of_input() const { return waiting_since_.value_or(loop().turn_began()); }
 
+  /// Registers the tag of an open call, which must not be registered.
   void add_call(const std::string& tag, core::CallId call) { open_calls_[tag] = call; }
   void remove_call(const std::string& tag) { open_calls_.erase(tag); }
+  /// The open call with the tag. Empty if there is none.
   std::optional<core::CallId> find_call(const std::string& tag) const;
   std::size_t open_calls() const { return open_calls_.size(); }
-  /// In the order in which they came. Cost: a sort of the open calls.
+  /// The ids of open calls in the order in which the calls were received. Sorts, so O(n log n).
   std::vector<core::CallId> open_call_ids() const;
-  /// The last open call was answered: closes a connection that had to wait for it.
+  /// Called when the last open call was answered. Closes the connection if the close was waiting for that
+  /// answer.
   void on_all_answered();
 
-  /// Writes a reply at the end of the turn. A client that leaves too much unread has its input rejected.
+  /// Queues a reply to be written at the end of the turn. Rejects the input of a client with too many unread
+  /// bytes.
   void reply(std::string_view bytes);
-  /// Counts a rejected call. The number is bounded: a client that repeats it at once would do so for ever.
+  /// Counts a rejected call, and rejects further input beyond a limit. Without the limit, a client that
+  /// retries a rejected call immediately would do so forever.
   void count_rejected_call();
-  /// The client broke the protocol: nothing more is taken from it, and the connection ends once the open
-  /// calls have their final answers.
+  /// Discards all further input, and closes the connection once open calls have their final answers. Used
+  /// after protocol errors, for clients that exceed limits, and at shutdown.
   void reject_input();
-  /// Ends the connection once all is written, in order.
+  /// Ends the connection gracefully once all queued bytes are written.
   void close();
 
  private:
@@ -91,13 +104,14 @@
   Parser parser_;
   std::unordered_map<std::string, core::CallId> open_calls_;  // by tag
   net::Loop::TimerId request_timer_{};
-  bool awaits_request_ = true;     // in part or, at first, whole: the timer runs
-  bool request_overdue_ = false;   // the rest of a request did not come in time
-  bool rejected_ = false;          // the client broke the protocol
-  bool has_sent_request_ = false;  // a complete one
+  bool awaits_request_ = true;     // no request yet, or the current one is incomplete
+  bool request_overdue_ = false;   // the current request was not complete in time
+  bool rejected_ = false;          // input is discarded
+  bool has_sent_request_ = false;  // at least one complete request
   std::size_t rejected_calls_ = 0;
-  std::optional<core::Millis> waiting_since_, first_read_;
-  // The table's list in which the connection stands, and where.
+  std::optional<core::Millis> waiting_since_;
+  std::optional<core::Millis> first_read_;  // start of the turn of the first read
+  // Set by `ConnectionTable`: the list that contains the connection, and the position in it.
   ConnectionList* list_ = nullptr;
   ConnectionList::iterator position_;
 
--- a/src/resp/connection_table.cpp
+++ b/src/resp/connection_table.cpp
@@ -76,7 +76,8 @@
   connection.list_ = &list;
 }
 
-// The caller holds a reference: the connection may leave its list at once.
+// Closes the connection. The caller must hold a reference, as the connection may be removed from its list
+// inside this function.
 void ConnectionTable::evict(Connection& connection, core::Counter reason) {
   counters_.add(reason);
   connection.close();
--- a/src/resp/connection_table.h
+++ b/src/resp/connection_table.h
@@ -1,4 +1,4 @@
-// The clients' connections, and the bounds on their number.
+/// The table of client connections, with limits on their number.
 #pragma once
 
 #include <memory>
@@ -9,39 +9,43 @@
 
 namespace pathstack::resp {
 
-/// Owns all connections: pending ones, which have sent no complete request yet, active ones, and those that
-/// wait for their client's close. Each has a bound, so that no kind takes the descriptors of another.
+/// Owns all connections: pending ones (no complete request yet), active ones and closing ones. Each state has
+/// a limit of its own, so that connections in one state cannot use up the descriptors for another.
 ///
-/// Used by the front on the loop's thread. Connections are evicted in the order of their last request, or of
-/// their accept. Cost: constant, but for what says otherwise.
+/// The first connection to be evicted is the one with the oldest last request, or the oldest accept if
+/// pending. Used by the front on the thread of the event loop. Constant time unless stated otherwise.
 class ConnectionTable {
  public:
   ConnectionTable(core::Counters& counters, const Limits& limits) : counters_(counters), limits_(limits) {}
 
-  /// Beyond the bound the oldest pending connection is closed, unless its request has come by now.
+  /// Adds a connection in the pending state. Beyond the limit, reads from the oldest pending connection and
+  /// closes it if it still has not sent a complete request.
   void add_pending(std::shared_ptr<Connection> connection);
-  /// A complete request has come: the connection becomes the most recent active one. Beyond the bound the
-  /// idle connection whose last request is oldest is closed; false if none is idle. Cost beyond the bound:
-  /// one poll(2) for each active connection that looks idle.
+  /// Makes the connection the most recent active one, as a complete request was received. Beyond the limit,
+  /// closes the idle connection with the oldest last request, and returns false if no connection is idle.
+  /// Cost beyond the limit: one poll(2) for each active connection that appears idle, until one is.
   bool activate(Connection& connection);
-  /// Beyond the bound the one that has been closing for longest is cut off.
+  /// Moves the connection to the closing state. Beyond the limit, closes the socket of the connection that
+  /// has been closing for longest, without waiting for its client.
   void begin_closing(Connection& connection);
-  /// Gives the ownership back; the connection's socket is closed.
+  /// Removes a connection whose socket is closed, and returns ownership to the caller.
   std::shared_ptr<Connection> remove(Connection& connection);
 
-  /// Begins to end all connections. Cost, as for the rest: the number of connections.
+  /// Rejects the input of all active and pending connections, and so begins to close them. Linear, like the
+  /// functions below, in the number of connections.
   void reject_all_input();
-  /// No active or closing connection has bytes to be written.
+  /// True if no active or closing connection has unwritten bytes.
   bool all_written() const;
-  /// An active or pending connection has sent a part of a request.
+  /// True if an active or pending connection has received a part of a request.
   bool any_partial_request() const;
   bool empty() const { return active_.empty() && pending_.empty() && closing_.empty(); }
 
  private:
   core::Counters& counters_;
   const Limits& limits_;
-  ConnectionList active_, pending_;  // oldest request, or accept, first
-  ConnectionList closing_;           // the one closing for longest first
+  ConnectionList active_;   // ordered by last request, oldest first
+  ConnectionList pending_;  // ordered by accept, oldest first
+  ConnectionList closing_;  // ordered by start of the close, oldest first
 
   static void move_to_back(ConnectionList& list, Connection& connection);
   void evict(Connection& connection, core::Counter reason);
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -40,14 +40,14 @@
 
 void Front::answer(core::CallId id, core::Answer&& answer) {
   const auto call = calls_.remove(id);
-  if (!call) return;  // cancelled, or its client has closed
+  if (!call) return;  // cancelled, or its client closed the connection
   Connection& connection = *call->connection;
   connection.reply(encode_answer(call->tag, answer));
   if (connection.open_calls() == 0) connection.on_all_answered();
 }
 
 void Front::on_accepted(net::Socket socket, std::optional<core::Millis> waiting_since) {
-  ConnectionObserver& observer = *this;  // a private base, which make_shared could not convert to
+  ConnectionObserver& observer = *this;  // private base; make_shared could not convert
   auto connection =
       std::make_shared<Connection>(loop_, pool_, counters_, limits_, observer, std::move(socket));
   if (waiting_since) connection->set_waiting_since(*waiting_since);
@@ -56,7 +56,8 @@
 
 bool Front::on_requests_read(Connection& connection) { return connections_.activate(connection); }
 
-// Nothing of it is forwarded: its calls are refused, and the connection ends.
+// Refuses the calls of a connection beyond the limit, replies to its health checks, and ends it. Nothing is
+// passed to the dispatcher.
 void Front::on_refused(Connection& connection, const std::vector<Words>& requests) {
   counters_.add(core::Counter::resp_no_place);
   for (const auto& words : requests) {
@@ -102,7 +103,8 @@
 void Front::begin_call(Connection& connection, const std::string& tag, Words&& words) {
   if (const auto open = connection.find_call(tag)) {
     counters_.add(core::Counter::resp_tag_repeated);
-    // An answer to one of the two calls could be taken for the other's, so none may say OK.
+    // The client could take the answer to one of the two calls for the answer to the other, so neither may be
+    // answered with OK.
     fail_open_call(*open);
     return connection.reject_input();
   }
@@ -115,7 +117,7 @@
   }
   auto& call = std::get<core::Call>(decoded);
   const std::size_t body_bytes = call.body.size();
-  // Bounds memory: a client of any number of connections may hold only so much of it.
+  // Bounds memory, however many connections a client opens.
   if (calls_.body_bytes() + body_bytes > limits_.max_body_bytes) {
     return reject_call(connection, tag, core::Counter::resp_no_memory, core::CallStatus::refused);
   }
@@ -131,7 +133,7 @@
 void Front::cancel_call(const Connection& connection, const std::string& tag) {
   counters_.add(core::Counter::resp_cancels);
   const auto id = connection.find_call(tag);
-  if (!id) return;  // its answer was sent before the request came
+  if (!id) return;  // already answered, or never open
   calls_.remove(*id);
   dispatcher_.abandon(*id);
 }
@@ -147,7 +149,7 @@
   connection.write(encode_health(tag, draining_));
 }
 
-// Gives the call up before its deadline.
+// Abandons the call and answers FAILED before its deadline.
 void Front::fail_open_call(core::CallId id) {
   const auto call = calls_.remove(id);
   if (!call) return;
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -1,4 +1,4 @@
-// The platform's front: clients that CALL, CANCEL and CHECK over RESP.
+/// The RESP front: serves clients that send CALL, CANCEL and CHECK requests over RESP.
 #pragma once
 
 #include <optional>
@@ -19,33 +19,39 @@
 
 namespace pathstack::resp {
 
-/// Passes requests from the clients' connections to the dispatcher, and answers back.
+/// Passes requests from client connections to the dispatcher, and answers back to the clients.
 ///
-/// Owns the listener, the connections and the table of open calls. Used on the loop's thread only; the
-/// dispatcher may answer while a call is handed to it. What must hold: each call that was read gets exactly
-/// one final answer, unless its client cancels it or closes. Cost: constant for a request, besides its size.
+/// Owns the listener, the connections and the table of open calls. Each call that was read gets exactly one
+/// final answer, unless its client cancels the call or closes the connection. The dispatcher may answer a
+/// call from inside `Dispatcher::take`. Used on the thread of the event loop only. Constant time per request,
+/// plus the size of the request.
 class Front final : public core::Front, private ListenerObserver, private ConnectionObserver {
  public:
   using Limits = resp::Limits;
-  /// All references have to outlive the front.
+  /// All references must outlive the front.
   Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
         const Limits& limits);
 
-  /// False if it failed, by `listen_error`; may be called again then.
+  /// Listens on `address`. Returns false on failure, with the reason in `listen_error`; may be called again
+  /// after a failure.
   bool listen(const std::string& address);
   const std::error_code& listen_error() const { return listen_error_; }
+  /// The address that the front listens on.
   std::string address() const { return listener_.address(); }
-  /// CHECK says DOWN from now on; calls are still taken.
+  /// From now on replies DOWN to CHECK requests. Calls are still accepted.
   void drain() { draining_ = true; }
-  /// As `Listener::stop`.
+  /// See `Listener::stop`.
   bool stop_listening() { return listener_.stop(); }
+  /// The number of calls that are not answered yet.
   std::size_t open_calls() const { return calls_.size(); }
-  /// Nothing waits to be written.
+  /// True if no active or closing connection has unwritten bytes.
   bool all_written() const { return connections_.all_written(); }
-  /// A request has come in part.
+  /// True if a request has been received in part.
   bool has_partial_request() const { return connections_.any_partial_request(); }
-  /// Begins to end all connections: each is sent what waits to be written, and nothing more is read from it.
+  /// Begins to close all connections. Further input is discarded; each connection ends once its open calls
+  /// are answered and all bytes are written.
   void close_connections() { connections_.reject_all_input(); }
+  /// True if there are no connections.
   bool closed() const { return connections_.empty(); }
 
   void answer(core::CallId id, core::Answer&& answer) override;
--- a/src/resp/limits.h
+++ b/src/resp/limits.h
@@ -1,4 +1,4 @@
-// Bounds on what the platform's clients may hold of the invoker.
+/// Limits on the resources of the invoker that RESP clients can use.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,19 @@
 
 namespace pathstack::resp {
 
+/// Limits of the RESP front. The connection limits apply separately to each state of a connection.
 struct Limits {
-  std::size_t max_active = 256;  // connections that have sent a complete request
-  std::size_t max_pending = 64;  // pending connections: no complete request has come yet
-  // Connections beyond these that were sent all that they are owed and wait for the client's close.
+  std::size_t max_active = 256;  // connections that have sent a complete request and are not closing
+  std::size_t max_pending = 64;  // connections that have not sent a complete request yet
+  // Connections that send their last bytes, or wait for the client to close. Not counted as active or
+  // pending.
   std::size_t max_closing = 16;
   std::size_t max_calls_per_connection = 32;
-  std::size_t max_body_bytes = 48U << 20;  // of all open calls
-  // From connecting, or a request's first byte, to its last.
+  std::size_t max_body_bytes = 48U << 20;  // total body size of all open calls, of all connections
+  // Time limit for a complete request. Runs from the accept for the first request of a connection, and from
+  // the first byte for later ones.
   core::Millis request_timeout{2000};
-  // From a breach of the protocol to the final answer of the calls that were open by then.
+  // Time limit for the final answers of calls that are open when input of their connection is rejected.
   core::Millis rejected_timeout{2000};
 };
 
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::size_t kMaxAcceptsPerTurn = 64;
-constexpr int kMaxAcceptRoundsAtStop = 16;  // of kMaxAcceptsPerTurn each: more than the kernel's queue holds
-// Calls may wait on connections that the kernel has accepted already, so the pause is short.
+constexpr int kMaxAcceptRoundsAtStop = 16;  // each of kMaxAcceptsPerTurn; more than the kernel's queue holds
+// The pause is short, as calls may be waiting on connections in the kernel's accept queue.
 constexpr core::Millis kMinBackoff{5}, kMaxBackoff{20};
 
-// False: the next accept has to wait for a connection, or for a descriptor.
+// False if the next accept has to wait for a connection or a descriptor.
 bool may_have_more(net::AcceptStatus status) {
   return status == net::AcceptStatus::accepted || status == net::AcceptStatus::connection_failed;
 }
--- a/src/resp/listener.h
+++ b/src/resp/listener.h
@@ -1,4 +1,4 @@
-// Accepts the platform's connections.
+/// The listening socket for client connections.
 #pragma once
 
 #include <optional>
@@ -12,20 +12,22 @@
 
 namespace pathstack::resp {
 
-/// Gets the connections of a `Listener`.
+/// Receives the connections that a `Listener` accepts.
 class ListenerObserver {
  public:
   virtual ~ListenerObserver() = default;
-  /// `waiting_since`: the time from which on the connection, and bytes of it, may have waited to be accepted;
-  /// empty if it was accepted as soon as it came. May call `Listener::resume`.
+  /// Called for each accepted connection. `waiting_since` is the time since when the connection and its input
+  /// may have been waiting for the accept; empty if it was accepted without delay. May call `Listener::resume`.
   virtual void on_accepted(net::Socket socket, std::optional<core::Millis> waiting_since) = 0;
 };
 
-/// Owns the listening socket and the pause after a lack of descriptors or memory.
+/// Owns the listening socket. Pauses accepting when the process or the machine is out of descriptors or
+/// memory.
 ///
-/// A listener that stays readable would spin the loop, so it is not watched during a pause. The shortage may
-/// be the machine's, with no connection here whose end could mend it: a timer with a bounded backoff ends the
-/// pause, or `resume`. Used on the loop's thread only. Cost: a bounded number of accept(2) a turn.
+/// The socket is not watched during a pause, as it stays readable and the loop would spin. A pause ends with
+/// `resume` or a timer with a bounded backoff. The timer is needed because the shortage may be machine-wide,
+/// and then no connection of this process need end. Used on the thread of the event loop only. Calls
+/// accept(2) a bounded number of times per turn.
 class Listener final : private net::Handler {
  public:
   Listener(net::Loop& loop, core::Counters& counters, ListenerObserver& observer);
@@ -33,13 +35,15 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  /// Empty on success; may be called again after an error.
+  /// Listens on `address`. Returns an empty error code on success; may be called again after an error.
   std::error_code listen(const std::string& address);
+  /// The address that the socket is bound to.
   std::string address() const { return net::bound_address(socket_); }
-  /// Accepts what waits in the kernel's queue, then closes the socket. False while connections that cannot be
-  /// accepted yet may wait there: to be called again. A close would lose the requests that they hold.
+  /// Accepts all connections in the kernel's queue, then closes the socket. Returns false, and leaves the
+  /// socket open, if connections may remain that cannot be accepted yet; the caller must retry. Closing the
+  /// socket would lose the requests on such connections.
   bool stop();
-  /// Ends a pause: a descriptor has become free. Nothing happens if there is none.
+  /// Ends a pause, as a descriptor has become free. No effect if accepting is not paused.
   void resume();
 
  private:
@@ -47,13 +51,13 @@
   core::Counters& counters_;
   ListenerObserver& observer_;
   net::Socket socket_;
-  bool paused_ = false;  // the socket is not watched until `resume`
+  bool paused_ = false;  // the socket is not watched
   net::Loop::TimerId resume_timer_{};
   core::Millis backoff_{0};
-  std::optional<core::Millis> waiting_since_;  // since when connections may wait to be accepted
+  std::optional<core::Millis> waiting_since_;  // since when connections may have been waiting
 
   void ready(short events) override;
-  /// Gives the status of the last accept.
+  /// Accepts connections up to the limit per turn. Returns the status of the last accept.
   net::AcceptStatus accept_some();
   void pause();
 };
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::resp {
 namespace {
 
-constexpr std::size_t kMaxHeaderBytes = 12;  // a sign and more digits than any length allowed here has
+constexpr std::size_t kMaxHeaderBytes = 12;  // a prefix and more digits than any permitted length has
 
 }  // namespace
 
@@ -65,7 +65,7 @@
     } else if (c == '\r') {
       cr_seen_ = true;
     } else if (state_ == State::data_end || line_.size() >= kMaxHeaderBytes) {
-      state_ = State::malformed;  // a word past its length, or a header that would grow without end
+      state_ = State::malformed;  // bytes beyond the length of a word, or a header line that is too long
     } else {
       line_.push_back(c);
     }
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -1,5 +1,5 @@
-// RESP arrays of bulk strings (the requests and replies of the Redis serialization protocol), read in
-// whatever pieces they come.
+/// Parsing and encoding of RESP arrays of bulk strings. RESP is the Redis serialization protocol; requests
+/// and replies of the invoker are both such arrays.
 #pragma once
 
 #include <string>
@@ -8,38 +8,46 @@
 
 namespace pathstack::resp {
 
-/// The bulk strings of one array.
+/// The bulk strings of one array; each of them is called a word.
 using Words = std::vector<std::string>;
 
-/// Reads one connection's byte stream. Owned by the connection; keeps at most one incomplete array, so its
-/// memory is bounded by `kMaxMessageBytes`. Cost: linear in the bytes.
+/// Incremental parser of the byte stream of one connection. Buffers at most one incomplete array, so
+/// `kMaxMessageBytes` bounds the word data in memory. Linear in the input.
 class Parser {
  public:
+  /// Maximum number of words in an array.
   static constexpr std::size_t kMaxWords = 8;
+  /// Maximum size of a word.
   static constexpr std::size_t kMaxWordBytes = std::size_t{16} * 1024;
-  /// Only one word of a message may be long: its body.
+  /// Maximum total size of the words of an array: a body of the maximum size and 2 KiB for all other words.
   static constexpr std::size_t kMaxMessageBytes = kMaxWordBytes + 2048;
 
-  /// Takes all bytes and appends complete arrays to `out`. False once the stream is malformed; arrays before
-  /// the fault are in `out`, and all bytes after it are ignored.
+  /// Consumes all bytes and appends complete arrays to `out`. Returns false once the stream is malformed.
+  /// Arrays before the syntax error are appended; all bytes after the error are ignored, also in later calls.
   bool take(std::string_view bytes, std::vector<Words>& out);
-  /// A part of an array has come.
+  /// True if an incomplete array has been received, or if the stream is malformed.
   bool has_partial_message() const { return state_ != State::array || !line_.empty() || cr_seen_; }
 
  private:
   enum class State { array, bulk, data, data_end, malformed };
   State state_ = State::array;
-  std::string line_;  // of a header, without its end
-  bool cr_seen_ = false;
-  std::size_t words_left_ = 0, bytes_left_ = 0, message_left_ = 0;
-  Words words_;
-
+  std::string line_;              // the current header line, without its line end
+  bool cr_seen_ = false;          // the last byte was the CR of a line end
+  std::size_t words_left_ = 0;    // of the current array
+  std::size_t bytes_left_ = 0;    // of the current word
+  std::size_t message_left_ = 0;  // bytes that further words of the current array may have
+  Words words_;                   // of the current array
+
+  /// Parses `line_` as `prefix` followed by a decimal number of at most `max`. Returns false on a syntax
+  /// error.
   bool parse_length(char prefix, std::size_t max, std::size_t& value) const;
+  /// Handles a complete header line or the line end of a word. Returns false on a syntax error.
   bool handle_line(std::vector<Words>& out);
+  /// Ends the current word, and appends the array to `out` if the word was the last one. Returns true.
   bool finish_word(std::vector<Words>& out);
 };
 
-/// Appends an array of bulk strings to `out`. Cost: the size of the words.
+/// Appends `words`, encoded as an array of bulk strings, to `out`. Linear in the size of the words.
 void write_array(std::string& out, const std::vector<std::string_view>& words);
 
 }  // namespace pathstack::resp
--- a/src/resp/reply.h
+++ b/src/resp/reply.h
@@ -1,4 +1,4 @@
-// The replies of the platform's protocol as RESP arrays. Pure functions: no state, no I/O.
+/// Encoding of replies to clients as RESP arrays. Pure functions.
 #pragma once
 
 #include <string>
@@ -8,11 +8,13 @@
 
 namespace pathstack::resp {
 
-/// The final answer of the call under `tag`: OK with the body, or BUSY or FAILED, with `cooldown=` in whole
-/// milliseconds (rounded up) if the answer has one. Cost: the size of the body.
+/// Encodes the final answer to the call with the given tag: OK and the body, or BUSY (refused) or FAILED. The
+/// latter two are followed by `cooldown=` with the time to retry after, in milliseconds rounded up, if that
+/// time is positive. Linear in the size of the body.
 std::string encode_answer(std::string_view tag, const core::Answer& answer);
 
-/// The reply to a health check: DOWN tells the client to send its calls elsewhere. Cost: constant.
+/// Encodes the reply to a health check: UP, or DOWN while the invoker is draining. DOWN tells the client to
+/// send its calls to another invoker.
 std::string encode_health(std::string_view tag, bool draining);
 
 }  // namespace pathstack::resp
--- a/src/resp/request_decoder.cpp
+++ b/src/resp/request_decoder.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::uint64_t kMaxTimeoutMs = std::uint64_t{3600} * 1000;
 constexpr std::size_t kClassIndex = 2, kFieldsIndex = 3, kBodyIndex = 4;
-// What ends a field, or the line, on a worker's connection, where the idempotency key is passed on unchanged.
+// Characters that end a field or the line in the host protocol. The idempotency key is sent to hosts
+// unchanged.
 constexpr char kFieldTerminators[] = " ,=\r\n";
 
 std::optional<RequestKind> kind_of(const std::string& verb) {
