--- a/src/resp/connection.h
+++ b/src/resp/connection.h
@@ -37,8 +37,8 @@
   /// Called if calls are still open `Limits::rejected_timeout` after the input of the connection was
   /// rejected.
   virtual void on_answers_overdue(Connection& connection) = 0;
-  /// Called when no further replies will follow: the connection writes pending bytes, then waits for the
-  /// client to close.
+  /// Called when the connection begins to close: it writes the queued bytes, then waits for the client to
+  /// close.
   virtual void on_closing(Connection& connection) = 0;
   /// Called when the socket is closed. The observer must keep the connection alive until the end of the turn.
   virtual void on_closed(Connection& connection) = 0;
@@ -68,8 +68,8 @@
 
   /// Sets the time since when the first input may have been waiting, as connections could not be accepted.
   void set_waiting_since(core::Millis time) { waiting_since_ = time; }
-  /// The time from which the timeouts of calls in the input being processed run: since when the input may have
-  /// been waiting, or else the start of the turn. Time that the turn spent on earlier input counts, too.
+  /// The time from which the timeouts of calls in the input being processed run: since when the input may
+  /// have been waiting, or else the start of the turn. Time that the turn spent on earlier input counts, too.
   core::Millis arrival_of_input() const { return waiting_since_.value_or(loop().turn_began()); }
 
   /// Registers the tag of an open call, which must not be registered.
--- a/src/resp/request_decoder.h
+++ b/src/resp/request_decoder.h
@@ -37,8 +37,8 @@
 std::variant<RequestHeader, RequestError> decode_header(const Words& words);
 
 /// Decodes a CALL request whose header has been decoded. Moves the body out of `words`; `words` is unchanged
-/// on an error. The caller must set `arrived`. Only the syntax of numbers is checked; the dispatcher checks
-/// their range. Linear in the size of the field list.
+/// on an error. The caller must set `arrived`. Whether the values are usable is left
+/// for the dispatcher to check. Linear in the size of the field list.
 std::variant<core::Call, RequestError> decode_call(Words& words);
 
 }  // namespace pathstack::resp
--- a/tests/invoker/client_close_test.cpp
+++ b/tests/invoker/client_close_test.cpp
@@ -1,5 +1,5 @@
-// How the platform's front ends connections: every call that it has read gets its final answer first, and the
-// last answer arrives whole, whatever the client goes on sending.
+// Tests how the RESP front closes connections: every call that was read gets its final answer first, and the
+// last answer arrives complete even if the client continues to send.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -36,7 +36,7 @@
   void keep_host_silent() {
     host().react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
   }
-  // The host's answer to a call whose `exec` it left unanswered.
+  // Sends an answer from the host to a call whose `exec` request the host left unanswered.
   void answer_from_host(const std::string& ref) {
     host().server.peers.front()->write(ref + " data - 1\r\nx\r\n");
   }
@@ -56,7 +56,7 @@
   return request({"CALL", tag, "bin-record", fields, body});
 }
 
-// A client that knows how its connection ended, and that reads and writes only when the test says so.
+// A client that reads and writes only when the test calls it, and records how its connection ended.
 class RawClient {
  public:
   enum class State { open, closed_in_order, reset };
@@ -65,7 +65,7 @@
   void limit_receive_buffer(int bytes) const {
     REQUIRE(setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes) == 0);
   }
-  // True once `unsent` is empty.
+  // Sends as much of `unsent` as the socket accepts, and removes that part. True once `unsent` is empty.
   bool send_some(std::string& unsent) const {
     const ssize_t sent = ::send(socket_.fd(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
     if (sent > 0) unsent.erase(0, static_cast<std::size_t>(sent));
@@ -95,7 +95,7 @@
       return !status_of(tag).empty();
     });
   }
-  // The word of the answer under a tag, or nothing.
+  // The status word of the answer with the given tag; empty without an answer.
   std::string status_of(const std::string& tag) const {
     const auto same = [&](const resp::Words& answer) { return answer[0] == tag; };
     const auto found = std::find_if(answers_.begin(), answers_.end(), same);
@@ -112,7 +112,7 @@
 
 using State = RawClient::State;
 
-TEST_CASE("a call that is open when its client sends a fault gets its answer, and nothing behind is begun") {
+TEST_CASE("open calls are answered after a protocol error, and later requests are ignored") {
   struct Fault {
     core::Counter counter;
     std::string bytes;
@@ -141,14 +141,14 @@
   }
   CHECK(client.read_to_end(p) == State::closed_in_order);
   CHECK(client.status_of("1") == "OK");
-  // Which of the two calls an OK would be for could not be determined.
+  // The client could not tell which of the two calls an OK would refer to.
   CHECK(client.status_of("2") == (repeated ? "FAILED" : "OK"));
   CHECK(client.answers().size() == 2);
   CHECK(p.host().execs <= 2);
   CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
-TEST_CASE("an answer that waits to be written when a fault is read is written before the connection ends") {
+TEST_CASE("an answer that is queued when a protocol error is read is written before the connection ends") {
   FrontHarness p;
   RawClient client(p.front.address());
   const std::string fault = GENERATE(std::string(kMalformedBytes), request({"CHECK"}));
@@ -157,7 +157,7 @@
   CHECK(client.answers() == std::vector<resp::Words>{{"1", "UP"}});
 }
 
-TEST_CASE("a client beyond the limit of faults gets the answers of its open calls") {
+TEST_CASE("a client that exceeds the limit of rejected calls gets the answers to its open calls") {
   constexpr int kBadCalls = 65;
   FrontHarness p;
   p.keep_host_silent();
@@ -174,9 +174,9 @@
   CHECK(p.host().execs == 1);
 }
 
-// Guards reading on after a fault: a connection that is not read any more would not show that its client
-// left.
-TEST_CASE("a client that closes after a fault has its attempt dropped") {
+// Guards against not reading a connection after a protocol error: the invoker would not notice that the
+// client closed, and would keep the attempt running.
+TEST_CASE("the attempt of a client that closes after a protocol error is cancelled") {
   FrontHarness p;
   p.keep_host_silent();
   RawClient client(p.front.address());
@@ -189,7 +189,7 @@
   CHECK(p.front.closed());
 }
 
-TEST_CASE("calls that are open for long after a fault are failed, so that the connection can end") {
+TEST_CASE("calls that stay open too long after a protocol error are failed, so that the connection can end") {
   resp::Front::Limits limits;
   limits.rejected_timeout = Millis(50);
   FrontHarness p(limits);
@@ -203,7 +203,8 @@
   CHECK(p.world.loop.now() - began < Millis(1400));
 }
 
-TEST_CASE("answers arrive whole at a client that reads late and goes on sending behind a fault") {
+TEST_CASE(
+    "answers arrive complete at a client that reads late and continues to send after a protocol error") {
   constexpr int kCalls = 30;
   FrontHarness p;
   RawClient client(p.front.address());
@@ -212,7 +213,7 @@
   std::string bytes;
   for (int i = 1; i <= kCalls; ++i) bytes += call(std::to_string(i), body);
   client.send_all(p, bytes + kMalformedBytes);
-  // More than is read of one connection in a turn.
+  // More bytes than one turn reads from a connection.
   client.send_all(p, std::string(net::Stream::kLingerMaxBytes / 2, 'x'));
   REQUIRE(p.turn_until([&] { return p.world.dispatcher.open_calls() == 0 && p.host().execs == kCalls; }));
   client.send_all(p, std::string(1000, 'x'));
@@ -220,7 +221,7 @@
   CHECK(client.answers().size() == kCalls);
 }
 
-// Counts what is received once a connection has shut down sending.
+// Counts the bytes received after a connection has shut down sending.
 class ReceiveCounter final : public net::SystemCalls {
  public:
   std::size_t received = 0;
@@ -238,7 +239,7 @@
   }
 };
 
-TEST_CASE("a client that floods its connection after the last answer is cut off") {
+TEST_CASE("a client that keeps sending after the last answer is disconnected") {
   ReceiveCounter calls;
   const net::ScopedSystemCalls scoped(calls);
   FrontHarness p;
@@ -256,7 +257,7 @@
   CHECK(calls.received <= net::Stream::kLingerMaxBytes + (std::size_t{128} << 10));
 }
 
-TEST_CASE("a client that does not close after the last answer is closed after a while") {
+TEST_CASE("a connection that its client does not close after the last answer is closed after a timeout") {
   FrontHarness p;
   RawClient client(p.front.address());
   client.send_all(p, request({"CHECK", "1", ""}) + kMalformedBytes);
@@ -265,7 +266,7 @@
   CHECK(p.turn_until([&] { return p.front.closed(); }));
 }
 
-TEST_CASE("connections that wait for their client's close are bounded in number") {
+TEST_CASE("the number of connections that wait for their client to close is bounded") {
   constexpr int kClients = 5;
   resp::Front::Limits limits;
   limits.max_closing = 2;
@@ -280,7 +281,7 @@
   CHECK(p.count(core::Counter::resp_linger_cut) == kClients - 2);
 }
 
-TEST_CASE("a health check on a connection for which there is no place is answered") {
+TEST_CASE("a health check on a connection beyond the limit is answered") {
   resp::Front::Limits limits;
   limits.max_active = 1;
   FrontHarness p(limits);
@@ -295,7 +296,8 @@
   CHECK(active.read() == State::open);
 }
 
-// Hides from the event loop that the connection accepted first has become readable.
+// Hides from the event loop that the first accepted connection is readable. Calls of poll(2) for a single
+// descriptor are passed through.
 class FirstConnectionHidden final : public net::SystemCalls {
  public:
   bool hidden = false;
@@ -317,7 +319,7 @@
   }
 };
 
-TEST_CASE("an idle connection on which a request waits to be read does not give up its place") {
+TEST_CASE("a connection with an unread request is not evicted as idle") {
   FirstConnectionHidden calls;
   const net::ScopedSystemCalls scoped(calls);
   resp::Front::Limits limits;
@@ -339,7 +341,7 @@
   CHECK(second.read_to_end(p) == State::closed_in_order);
 }
 
-TEST_CASE("closing all connections sends what waits to be written, whatever the clients go on sending") {
+TEST_CASE("closing all connections sends all queued bytes even if the clients continue to send") {
   constexpr int kCalls = 30;
   FrontHarness p;
   RawClient client(p.front.address());
--- a/tests/invoker/front_test.cpp
+++ b/tests/invoker/front_test.cpp
@@ -1,4 +1,4 @@
-// The platform's front, over loopback: calls, their answers, and clients that behave badly.
+// Tests the RESP front over loopback: calls, answers, and misbehaving clients.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 using Kind = Reaction::Kind;
 
-TEST_CASE("a client's call is served with its body unchanged") {
+TEST_CASE("a call is served, and its body is passed on unchanged") {
   FrontFixture p(2);
   Client c(p.world, p.front.address());
   const std::string body("\0\r\n*3 $\xFF", 8);
@@ -21,8 +21,9 @@
   CHECK(*c.answer("2") == resp::Words{"2", "OK", "", body});
 }
 
-// Failure found on a variant of the settings with a keyed class: every call reached hosts without its key.
-TEST_CASE("an idempotency key goes to the host unchanged; one that would break the host's fields is failed") {
+// Guards against a failure found with settings that have a keyed class: every call reached hosts without its
+// key.
+TEST_CASE("an idempotency key is sent to the host unchanged, or failed if it would break the host protocol") {
   FrontFixture p(1);
   Client c(p.world, p.front.address());
   const std::string ref = "ref=00000000000000ac,allow=900,lookup=00000000000000a1,replay=";
@@ -40,10 +41,10 @@
   CHECK(p.world.host[0]->execs == 2);
 }
 
-TEST_CASE("bad input ends its call or its connection, with a counted reason") {
+TEST_CASE("invalid input fails its call or closes its connection, and its reason is counted") {
   FrontFixture p(1);
   Client c(p.world, p.front.address());
-  SECTION("a call that cannot be read is failed") {
+  SECTION("an invalid call is failed") {
     c.send_command({"CALL", "1", "bin-check", "ref=12,allow=5", "x"});
     c.send_command({"CALL", "2", "bin-check"});
     c.send_command({"CALL", "3", "no-class", "ref=00000000000000aa,allow=9,lookup=00000000000000a1", "x"});
@@ -76,8 +77,9 @@
   }
 }
 
-// Failure found in review: the listener was closed over connections that the kernel had accepted.
-TEST_CASE("connections that wait to be accepted when listening ends are served") {
+// Guards against a failure found in review: the listening socket was closed while the kernel's accept queue
+// held connections, and their requests were lost.
+TEST_CASE("connections in the accept queue are served when listening stops") {
   resp::Front::Limits limits;
   limits.max_pending = 256;
   FrontFixture p(1, limits);
@@ -90,7 +92,7 @@
   for (auto& c : clients) REQUIRE(c.answer("1") != nullptr);
 }
 
-TEST_CASE("a request that has come in part is known until it is whole or its connection ends") {
+TEST_CASE("a partial request is reported until it is complete or its connection ends") {
   FrontFixture p(1);
   Client c(p.world, p.front.address());
   c.send_command({"CHECK", "1", ""});
@@ -107,7 +109,7 @@
   CHECK(p.world.turn_until([&] { return !p.front.has_partial_request(); }, 20000));
 }
 
-TEST_CASE("at the program's end what is open is answered: failed where it may have run, else refused") {
+TEST_CASE("at shutdown open calls are answered with FAILED if they may have run, and with BUSY otherwise") {
   FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
@@ -125,7 +127,7 @@
   CHECK(p.world.host[0]->execs == 1);
 }
 
-TEST_CASE("a client that cancels or goes gets no answer, and its attempt is dropped") {
+TEST_CASE("a call gets no answer, and its attempt is cancelled, if its client cancels it or disconnects") {
   FrontFixture p(1);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
@@ -141,7 +143,7 @@
   CHECK(c.replies.empty());
 }
 
-TEST_CASE("clients beyond the bound take the place of the one longest idle") {
+TEST_CASE("a client beyond the limit replaces an idle connection") {
   resp::Front::Limits limits;
   limits.max_active = 2;
   FrontFixture p(1, limits);
@@ -155,8 +157,8 @@
   CHECK(p.world.turn_until([&] { return a.closed || b.closed; }, 20000));
 }
 
-// Failure found in review: a connection for which there was no place was closed without an answer.
-TEST_CASE("a call on a connection for which there is no place is refused, and reaches no host") {
+// Guards against a failure found in review: a connection beyond the limit was closed without an answer.
+TEST_CASE("a call on a connection beyond the limit is refused, and reaches no host") {
   resp::Front::Limits limits;
   limits.max_active = 2;
   FrontFixture p(1, limits);
@@ -175,7 +177,8 @@
   CHECK(p.world.host[0]->execs == 2);
 }
 
-TEST_CASE("a connection that says nothing, or half a request, is closed; one that has asked may stay") {
+TEST_CASE(
+    "a connection without a complete request, or with a partial one, is closed; an idle one stays open") {
   FrontFixture p(1);
   Client active(p.world, p.front.address()), silent(p.world, p.front.address()),
       half(p.world, p.front.address()), later(p.world, p.front.address());
@@ -190,8 +193,9 @@
   CHECK(p.world.counters.value(core::Counter::resp_half_request) == 1);
 }
 
-// Failure found in review: half a request that stood for 2 s ended the calls open on its connection.
-TEST_CASE("half a request does not end the calls that are open on its connection") {
+// Guards against a failure found in review: a request that stayed incomplete for 2 s ended the open calls of
+// its connection.
+TEST_CASE("an incomplete request does not end the open calls of its connection") {
   resp::Front::Limits limits;
   limits.request_timeout = Millis(100);
   FrontFixture p(1, limits);
@@ -216,12 +220,14 @@
 }
 
 TEST_CASE(
-    "a request that becomes whole in the turn of the last answer is served before its connection ends") {
+    "a request that becomes complete in the turn of the last answer is served before its connection ends") {
   resp::Front::Limits limits;
   limits.request_timeout = Millis(100);
   FrontFixture p(1, limits);
   Client first(p.world, p.front.address());
-  first.call("1", "bin-check", "before");  // the connection to the host is read before the next client's
+  // Opens the connection to the host first, so that the loop reads it before the connection of the next
+  // client.
+  first.call("1", "bin-check", "before");
   REQUIRE(first.answer("1") != nullptr);
   p.world.host[0]->react = [](const std::string& body) {
     return body == "x" ? Reaction{Kind::silence, ""} : Reaction();
@@ -244,9 +250,9 @@
   CHECK(c.answer("2")->at(1) == "OK");
 }
 
-// Failure found in review: a client that read nothing used up the buffers of all connections, and the one
-// that next had to write was ended instead of it.
-TEST_CASE("a client that reads nothing pays for the buffers that its answers take, not whoever writes next") {
+// Guards against a failure found in review: a client that did not read used up the buffers of all
+// connections, and the next connection to write was ended instead of that client's.
+TEST_CASE("a client that does not read is disconnected when buffers run out, not the next one to write") {
   constexpr std::size_t kBuffers = 40;
   FrontFixture p(1, {}, kBuffers);
   Client active(p.world, p.front.address());
@@ -256,7 +262,7 @@
   const std::string body(16000, 'x');
   std::string unsent;
   std::uint64_t calls = 0;
-  // Asks for a few answers at a time and never reads one, until they have used up the buffers.
+  // Sends a few calls at a time, and never reads an answer, until answers have used up the buffers.
   const auto buffers_used_up = [&] {
     if (unsent.empty() && p.world.dispatcher.open_calls() == 0) {
       for (int i = 0; i < 4; ++i) {
@@ -279,7 +285,7 @@
   CHECK(p.world.counters.value(core::Counter::resp_unread_closed) == 1);
 }
 
-TEST_CASE("connections by dozens that say nothing cost those that ask no place") {
+TEST_CASE("many connections without a request do not displace connections with requests") {
   resp::Front::Limits limits;
   limits.max_active = limits.max_pending = 4;
   FrontFixture p(1, limits);
@@ -296,7 +302,7 @@
   CHECK(p.world.counters.value(core::Counter::resp_silent_closed) >= 36);
 }
 
-TEST_CASE("calls that are taken back in the bytes they came in reach no host") {
+TEST_CASE("calls whose cancellation is read together with them reach no host") {
   FrontFixture p(1);
   Client c(p.world, p.front.address());
   for (int i = 1; i <= 20; ++i) c.call(std::to_string(i), "bin-check", std::to_string(i));
@@ -308,7 +314,7 @@
   CHECK(p.world.counters.value(core::Counter::resp_taken_back) == 19);
 }
 
-TEST_CASE("a client that sends the same again whenever it is turned away is closed in the end") {
+TEST_CASE("a client that keeps retrying rejected calls is disconnected") {
   FrontFixture p(1);
   Client c(p.world, p.front.address());
   for (int i = 1; !c.closed && i < 1000; ++i) {
@@ -320,8 +326,7 @@
 }
 
 TEST_CASE(
-    "an answer that breaks off, or a host that hangs up: a bin-record is failed, a bin-check goes "
-    "elsewhere") {
+    "after a truncated answer or a close by the host a bin-record is failed and a bin-check is retried") {
   FrontFixture p(2);
   const auto kind = GENERATE(Kind::truncated, Kind::close);
   int broken = 0;
--- a/tests/invoker/resp_request_decoder_test.cpp
+++ b/tests/invoker/resp_request_decoder_test.cpp
@@ -1,4 +1,4 @@
-// The decoding of the platform's requests, with the reason for each that cannot be understood.
+// Tests the decoding of client requests, and the error for each kind of invalid request.
 #include <catch2/catch.hpp>
 #include <string>
 #include <variant>
@@ -19,7 +19,7 @@
 
 RequestError call_error(Words words) { return std::get<RequestError>(resp::decode_call(words)); }
 
-TEST_CASE("a request's header is its kind and its tag as it was written") {
+TEST_CASE("the header of a request is its kind and its unchanged tag") {
   const auto call = std::get<resp::RequestHeader>(resp::decode_header({"CALL", "007"}));
   CHECK(call.kind == resp::RequestKind::call);
   CHECK(call.tag == "007");
@@ -29,7 +29,7 @@
   CHECK(check.kind == resp::RequestKind::check);
 }
 
-TEST_CASE("a request without a usable tag is a bad tag, whatever its verb") {
+TEST_CASE("a request without a valid tag is rejected with bad_tag, whatever its verb") {
   for (const char* tag : {"", "0", "-1", "x", "1000000000000000000"}) {
     CHECK(header_error({"CALL", tag}) == RequestError::bad_tag);
     CHECK(header_error({"PING", tag}) == RequestError::bad_tag);
@@ -37,12 +37,12 @@
   CHECK(header_error({"CHECK"}) == RequestError::bad_tag);
 }
 
-TEST_CASE("a verb other than the protocol's is unknown") {
+TEST_CASE("a verb that is not part of the protocol is unknown") {
   CHECK(header_error({"PING", "1"}) == RequestError::unknown_verb);
   CHECK(header_error({"call", "1"}) == RequestError::unknown_verb);
 }
 
-TEST_CASE("a call's words become the fields of the call") {
+TEST_CASE("the words of a CALL request are decoded into a call") {
   Words words =
       call_with(kIdentity + ",allow=1400,project=p,replay=k,dup=1,effort=2.5,spec=memory_mb:300;lanes:4");
   const auto decoded = resp::decode_call(words);
@@ -61,7 +61,7 @@
   CHECK(call.body == "body");
 }
 
-TEST_CASE("what a call may leave out has its default") {
+TEST_CASE("omitted optional fields have default values") {
   Words words = {"CALL", "1", "record", kIdentity + ",allow=0"};
   const auto decoded = resp::decode_call(words);
   const auto& call = std::get<core::Call>(decoded);
@@ -74,7 +74,7 @@
   CHECK(call.body.empty());
 }
 
-TEST_CASE("a call that cannot be understood gives the reason") {
+TEST_CASE("an invalid call is rejected with the reason") {
   struct InvalidCall {
     std::string fields;
     RequestError error;
@@ -101,13 +101,13 @@
   CHECK(call_error(call_with(invalid.fields)) == invalid.error);
 }
 
-TEST_CASE("a call has four words, and five with a body") {
+TEST_CASE("a CALL request has four words, or five with a body") {
   CHECK(call_error({"CALL", "1", "record"}) == RequestError::wrong_word_count);
   CHECK(call_error({"CALL", "1", "record", kIdentity + ",allow=1", "body", ""}) ==
         RequestError::wrong_word_count);
 }
 
-TEST_CASE("a call that is rejected keeps its words") {
+TEST_CASE("decoding leaves the words of an invalid call unchanged") {
   Words words = call_with(kIdentity + ",allow=x");
   const Words before = words;
   CHECK(std::get<RequestError>(resp::decode_call(words)) == RequestError::bad_timeout);
--- a/tests/invoker/support/call_book.h
+++ b/tests/invoker/support/call_book.h
@@ -1,4 +1,4 @@
-// What clients and hosts saw of each call, for checks of the rules once all is over.
+/// Records of what clients and hosts observed of each call, checked by a test when all calls have ended.
 #pragma once
 
 #include <algorithm>
@@ -17,13 +17,14 @@
 
 using core::Millis;
 
-/// The loop's clock, except that one turn counts for so much at most: what the machine did not let this
-/// process do in time is no fault of the code under test.
+/// The clock of the loop, except that a turn counts for `kMaxTurn` at most. Delays beyond that come from a
+/// busy machine, and must not make a test of the invoker fail.
 class TurnClock {
  public:
   static constexpr Millis kMaxTurn{15};
   explicit TurnClock(const net::Loop& loop) : loop_(loop), turn_began_(loop.now()) {}
   Millis now() const { return before_ + std::min(loop_.now() - turn_began_, kMaxTurn); }
+  /// Must be called once per turn of the loop.
   void next_turn() {
     before_ = now();
     turn_began_ = loop_.now();
@@ -34,27 +35,30 @@
   Millis before_{0}, turn_began_;
 };
 
-/// When something was seen: the time, and the number of polls before it.
+/// When an event was observed: the time, and the number of polls before the event.
 struct Moment {
   Millis at{0};
   std::uint64_t poll = 0;
 };
 
-/// An exec as its host saw it.
+/// An `exec` request as its host observed it.
 struct HostAttempt {
   std::size_t host = 0;
   Moment arrived;
   Millis timeout{0};
-  std::string answer;           // the word that the host gave; empty: none
-  std::optional<Moment> ended;  // answered, dropped, or its connection closed
+  std::string answer;           // the answer word that the host sent; empty: none
+  std::optional<Moment> ended;  // answered, cancelled, or its connection closed
+  /// True if the answer guarantees that the call did not run on the host.
   bool never_ran() const { return answer == "absent" || answer == "full" || answer == "moot"; }
 };
 
+/// An answer as the client received it.
 struct ClientAnswer {
   Moment arrived;
   resp::Words words;
 };
 
+/// A call with all its attempts and answers.
 struct CallRecord {
   std::string ref;
   pathstack::policy::Semantics semantics = pathstack::policy::Semantics::once;
@@ -64,12 +68,13 @@
   bool closed_by_invoker = false;   // the invoker closed the connection first
   std::vector<ClientAnswer> answers;
   std::vector<HostAttempt> attempts;
-  std::set<std::string> returned_bodies;  // by hosts, with `data`
+  std::set<std::string> returned_bodies;  // bodies that hosts sent with `data`
 };
 
+/// The records of all calls of a test.
 struct CallRecords {
   std::map<std::string, CallRecord> calls;  // by ref
-  std::vector<std::string> unmatched;       // answers and execs that belong to no call
+  std::vector<std::string> unmatched;       // answers and `exec` requests that belong to no call
 };
 
 }  // namespace pathstack::test
--- a/tests/invoker/support/call_client.h
+++ b/tests/invoker/support/call_client.h
@@ -1,4 +1,4 @@
-// A client of the platform's front that records its calls and what came of them.
+/// A client of the RESP front that records its calls and their answers.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -15,6 +15,8 @@
 
 namespace pathstack::test {
 
+/// Sends calls, cancellations and health checks on one connection, and records what it sent and received in
+/// `CallRecords`, at times of the given clock.
 class CallClient final : public net::Stream {
  public:
   using Now = std::function<Moment()>;
@@ -23,11 +25,11 @@
       : Stream(loop, pool, net::connect_to(address), true), records_(records), now_(std::move(now)) {}
 
   bool closed() const { return closed_; }
-  /// True once this client was answered `UP`.
+  /// True once a health check was answered with UP.
   bool up() const { return up_; }
   std::size_t open_calls() const { return refs_.size(); }
 
-  /// Sends a call; its bytes leave at the end of the turn.
+  /// Queues a call; the loop sends it at the end of the turn.
   void call(CallRecord record, const std::string& class_name, const std::string& body) {
     const std::string tag = std::to_string(++last_tag_);
     const std::string fields =
@@ -39,7 +41,7 @@
     refs_[tag] = record.ref;
     records_.calls.emplace(record.ref, std::move(record));
   }
-  /// Takes the open call of the given index back.
+  /// Cancels the open call at the given index, in the order of tags as text.
   void cancel(std::size_t index) {
     const auto found = std::next(refs_.begin(), static_cast<std::ptrdiff_t>(index));
     send_command({"CANCEL", found->first});
@@ -47,8 +49,9 @@
     cancelled_[found->first] = found->second;
     refs_.erase(found);
   }
+  /// Queues a health check.
   void check() { send_command({"CHECK", std::to_string(++last_tag_), ""}); }
-  /// Closes the connection with whatever is open on it.
+  /// Closes the connection and abandons its open calls.
   void disconnect() {
     for (const auto& [tag, ref] : refs_) records_.calls.at(ref).abandoned = now_();
     refs_.clear();
@@ -59,7 +62,8 @@
   CallRecords& records_;
   Now now_;
   resp::Parser parser_;
-  std::map<std::string, std::string> refs_, cancelled_, answered_;  // by tag
+  // References by tag, of open, cancelled and answered calls.
+  std::map<std::string, std::string> refs_, cancelled_, answered_;
   std::uint64_t last_tag_ = 0;
   bool closed_ = false, up_ = false;
 
