--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -169,7 +169,7 @@
         "configuration: xds: cannot be added or removed by a reload; restart the program");
   }
   if (host_file_) {
-    const xds::HostFile::Status moved = host_file_->move(next.xds->file, next.xds->cluster);
+    const xds::HostFile::Status moved = host_file_->switch_source(next.xds->file, next.xds->cluster);
     if (!moved) throw config::ConfigError("configuration: xds.file: " + moved.error().reason);
   }
   if (membership_client_) membership_client_->move(next.changelog);
--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -26,7 +26,7 @@
   limits.order_timeout = config.settings.order_timeout;
   limits.allow_probes = config.settings.probes;
   limits.drain_grace = config.settings.drain_grace;
-  limits.max_attempts_per_connection = config.attempts_a_link;
+  limits.max_attempts_per_connection = config.attempts_per_connection;
   limits.max_connections = config.sockets / kDescriptorParts;
   limits.report_fields = config.report_fields;
   return limits;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -34,28 +34,28 @@
 AmqpConfig read_amqp(const json& from) {
   if (!from.is_object()) throw_config_error("amqp", "an object is needed");
   AmqpConfig out;
-  out.broker = text_value(from, "broker", "amqp.broker", nullptr);
+  out.broker = string_value(from, "broker", "amqp.broker", nullptr);
   if (!net::valid_address(out.broker)) {
     throw_config_error("amqp.broker", "no numeric address with a port: '" + out.broker + "'");
   }
-  out.user = text_value(from, "user", "amqp.user", "guest");
-  out.password = text_value(from, "password", "amqp.password", "guest");
-  out.vhost = text_value(from, "vhost", "amqp.vhost", "/");
+  out.user = string_value(from, "user", "amqp.user", "guest");
+  out.password = string_value(from, "password", "amqp.password", "guest");
+  out.vhost = string_value(from, "vhost", "amqp.vhost", "/");
   out.queues = read_queues(key(from, "queues"));
-  out.prefetch = whole_within(from, "prefetch", "amqp.prefetch", out.prefetch, 1, 1000);
-  out.heartbeat_s = whole_within(from, "heartbeat_s", "amqp.heartbeat_s", out.heartbeat_s, 0, 600);
-  out.body_kb = whole_within(from, "body_kb", "amqp.body_kb", out.body_kb, 1, 1024);
-  out.open_calls = whole_within(from, "open_calls", "amqp.open_calls", out.open_calls, 1, 10000);
-  out.remembered = whole_within(from, "remembered", "amqp.remembered", out.remembered, 1, 1e6);
-  out.remembered_mb = whole_within(from, "remembered_mb", "amqp.remembered_mb", out.remembered_mb, 1, 1e4);
+  out.prefetch = integer_within(from, "prefetch", "amqp.prefetch", out.prefetch, 1, 1000);
+  out.heartbeat_s = integer_within(from, "heartbeat_s", "amqp.heartbeat_s", out.heartbeat_s, 0, 600);
+  out.body_kb = integer_within(from, "body_kb", "amqp.body_kb", out.body_kb, 1, 1024);
+  out.open_calls = integer_within(from, "open_calls", "amqp.open_calls", out.open_calls, 1, 10000);
+  out.remembered = integer_within(from, "remembered", "amqp.remembered", out.remembered, 1, 1e6);
+  out.remembered_mb = integer_within(from, "remembered_mb", "amqp.remembered_mb", out.remembered_mb, 1, 1e4);
   return out;
 }
 
 XdsConfig read_xds(const json& from) {
   if (!from.is_object()) throw_config_error("xds", "an object is needed");
   XdsConfig out;
-  out.file = text_value(from, "file", "xds.file", nullptr);
-  out.cluster = text_value(from, "cluster", "xds.cluster", nullptr);
+  out.file = string_value(from, "file", "xds.file", nullptr);
+  out.cluster = string_value(from, "cluster", "xds.cluster", nullptr);
   out.reread = Millis(number_within(from, "reread_ms", "xds.reread_ms", out.reread.count(), 10, 1500));
   return out;
 }
@@ -77,8 +77,8 @@
 
 void read_limits(const json& limits, Config& out) {
   if (!limits.is_null() && !limits.is_object()) throw_config_error("limits", "an object is needed");
-  out.memory_mb = whole_within(limits, "memory_mb", "limits.memory_mb", out.memory_mb, 32, 1e6);
-  out.sockets = whole_within(limits, "sockets", "limits.sockets", out.sockets, 64, 1e6);
+  out.memory_mb = integer_within(limits, "memory_mb", "limits.memory_mb", out.memory_mb, 32, 1e6);
+  out.sockets = integer_within(limits, "sockets", "limits.sockets", out.sockets, 64, 1e6);
 }
 
 void read_known(const json& known, std::vector<MembershipEvent>&& events, Config& out) {
@@ -87,7 +87,7 @@
   const json& unread = key(known, "results");  // the parser has taken out all events that are objects
   if (!seq.is_number_unsigned()) throw_config_error("known.seq", "a whole number is needed");
   if (!unread.is_array()) throw_config_error("known.results", "an array is needed");
-  out.known_seq = large(seq);
+  out.known_seq = uint64(seq);
   out.known_events = std::move(events);
   if (unread.empty()) return;
   MembershipEvent malformed;
@@ -97,13 +97,13 @@
 }
 
 void read_invoker_settings(const json& settings, Config& out) {
-  check_setting_kinds(settings);
+  check_setting_types(settings);
   const json& bounds = key(settings, "Bounds");
   number_within(bounds, "SendCap", "settings.Bounds.SendCap", 1, 1, 1000);
   out.connection_idle = Millis(
       number_within(bounds, "ConnIdle", "settings.Bounds.ConnIdle", out.connection_idle.count(), 1, 1e9));
-  out.attempts_a_link =
-      whole_within(bounds, "StreamsPerConn", "settings.Bounds.StreamsPerConn", out.attempts_a_link, 1, 1e6);
+  out.attempts_per_connection = integer_within(bounds, "StreamsPerConn", "settings.Bounds.StreamsPerConn",
+                                               out.attempts_per_connection, 1, 1e6);
   out.settings = read_settings(settings, out.seed);
   // An invoker has no way to send messages to others: probes on behalf of them would be wasted.
   out.settings.peer_messages = false;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -47,8 +47,8 @@
   std::uint64_t known_seq = 0;  // the last event of the membership log that `known_events` make up for
   std::vector<MembershipEvent> known_events;
   pathstack::policy::Settings settings;
-  Millis connection_idle{15000};     // after which an unused connection to a host is closed
-  std::size_t attempts_a_link = 32;  // in flight on one connection to a host
+  Millis connection_idle{15000};             // after which an unused connection to a host is closed
+  std::size_t attempts_per_connection = 32;  // in flight on one connection to a host
   std::vector<std::string> report_fields;
 };
 
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -41,23 +41,23 @@
   return std::isfinite(read) ? read : missing;
 }
 
-/// The bound of `whole`, either way: within the range of an int, with room for sums of two.
-constexpr double kMaxWhole = 1e9;
+/// The bound of `integer`, either way: within the range of an int, with room for sums of two.
+constexpr double kMaxInteger = 1e9;
 
 /// A number with its fraction cut off, brought within the bound.
-inline int whole(const json& value, int missing = 0) {
+inline int integer(const json& value, int missing = 0) {
   const double read = number(value, missing);
-  return static_cast<int>(std::min(std::max(read, -kMaxWhole), kMaxWhole));
+  return static_cast<int>(std::min(std::max(read, -kMaxInteger), kMaxInteger));
 }
 
 /// A whole number of 64 bits; 0 if it is none.
-inline std::uint64_t large(const json& value) {
+inline std::uint64_t uint64(const json& value) {
   if (value.is_number_unsigned()) return value.get<std::uint64_t>();
   return value.is_number_integer() ? static_cast<std::uint64_t>(value.get<std::int64_t>()) : 0;
 }
 
 /// A truth value, or a number other than 0.
-inline bool flag(const json& value) { return value.is_boolean() ? value.get<bool>() : number(value) != 0; }
+inline bool boolean(const json& value) { return value.is_boolean() ? value.get<bool>() : number(value) != 0; }
 
 /// A text, or the digits of a whole number; empty for anything else.
 inline std::string text(const json& value) {
@@ -70,7 +70,7 @@
 
 /// The value that a word stands for.
 template <typename T>
-T word(const std::string& name, const std::map<std::string, T>& words, T otherwise) {
+T enum_value(const std::string& name, const std::map<std::string, T>& words, T otherwise) {
   const auto found = words.find(name);
   return found == words.end() ? otherwise : found->second;
 }
--- a/src/config/membership_events.cpp
+++ b/src/config/membership_events.cpp
@@ -23,14 +23,14 @@
 
 // The size of a row as a bound on the memory that it takes: bytes of names and texts, and a few for each
 // value.
-std::size_t bytes_of(const json& value) {
+std::size_t estimated_bytes(const json& value) {
   if (value.is_string()) return kValueBytes + value.get_ref<const std::string&>().size();
   std::size_t sum = kValueBytes;
   if (value.is_array()) {
-    for (const auto& item : value) sum += bytes_of(item);
+    for (const auto& item : value) sum += estimated_bytes(item);
   }
   if (value.is_object()) {
-    for (const auto& [name, item] : value.items()) sum += name.size() + bytes_of(item);
+    for (const auto& [name, item] : value.items()) sum += name.size() + estimated_bytes(item);
   }
   return sum;
 }
@@ -41,7 +41,7 @@
   member.address = text(key(row, "host_port"));
   member.entry.zone = text(key(row, "locality"));
   member.entry.kind = text(key(row, "flavor"));
-  member.entry.cell = whole(key(row, "cell"));
+  member.entry.cell = integer(key(row, "cell"));
   member.entry.weight = number(key(row, "size"), 1);
   member.entry.started = Millis(number(key(row, "up_since_ms")));
   member.entry.state = state_of(text(key(row, "phase")));
@@ -70,32 +70,32 @@
   }
   if (event != ParseEvent::object_end || level < event_depth() || !inside_events()) return true;
   if (level == event_depth()) {
-    take_event(parsed);
+    add_event(parsed);
     return false;
   }
   if (!inside_members(level)) return true;
-  take_row(parsed);
+  add_member(parsed);
   return false;
 }
 
-void MembershipEventReader::take_row(const json& row) {
+void MembershipEventReader::add_member(const json& row) {
   auto member = read_member(row);
   // To skip one row would lose its host for good, so the whole event is malformed and is asked for again.
   const bool usable = !member.entry.worker.empty() && !text(key(row, "phase")).empty();
-  if (!usable || bytes_of(row) > kMaxRowBytes) {
+  if (!usable || estimated_bytes(row) > kMaxRowBytes) {
     current_.malformed = true;
     return;
   }
   current_.list.members.push_back(std::move(member));
 }
 
-void MembershipEventReader::take_event(const json& event) {
+void MembershipEventReader::add_event(const json& event) {
   MembershipEvent read = std::exchange(current_, MembershipEvent());
-  if (key(event, "seq").is_number_unsigned()) read.seq = large(key(event, "seq"));
-  read.is_number = read.seq && event.size() == 1;
+  if (key(event, "seq").is_number_unsigned()) read.seq = uint64(key(event, "seq"));
+  read.is_last_seq = read.seq && event.size() == 1;
   const json& fleet = key(event, "fleet");
   read.has_members = event.contains("fleet");
-  read.list.complete = flag(key(fleet, "complete"));
+  read.list.complete = boolean(key(fleet, "complete"));
   const json& rest = key(fleet, "members");
   // What is left of the list are rows that are no objects.
   if (read.has_members && (!rest.is_array() || !rest.empty())) read.malformed = true;
@@ -109,11 +109,11 @@
   };
   const json rest = json::parse(line, callback, false);
   MembershipLine out;
-  if (rest.is_number_unsigned()) out.number = rest.get<std::uint64_t>();
+  if (rest.is_number_unsigned()) out.last_seq = rest.get<std::uint64_t>();
   auto events = reader.take_events();
   if (rest.is_discarded() || events.size() != 1) return out;
-  if (events.front().is_number) {
-    out.number = events.front().seq;
+  if (events.front().is_last_seq) {
+    out.last_seq = events.front().seq;
   } else {
     out.event = std::move(events.front());
   }
--- a/src/config/membership_events.h
+++ b/src/config/membership_events.h
@@ -16,7 +16,7 @@
 struct MembershipEvent {
   std::optional<std::uint64_t> seq;  // none: it has no number
   bool has_members = false;          // false: another kind of event
-  bool is_number = false;            // it has nothing but its number: that of the last event
+  bool is_last_seq = false;          // it has nothing but its number: that of the last event
   bool malformed = false;            // a part of it cannot be read
   core::MemberList list;
 };
@@ -44,14 +44,14 @@
   std::size_t event_depth() const { return path_.empty() ? 0 : path_.size() + 1; }
   bool inside_events() const;
   bool inside_members(std::size_t depth) const;
-  void take_row(const nlohmann::json& row);
-  void take_event(const nlohmann::json& event);
+  void add_member(const nlohmann::json& row);
+  void add_event(const nlohmann::json& event);
 };
 
-/// One line of the membership log. `number` holds a line that tells the number of the last event alone, as a
-/// number or as an object with nothing else.
+/// One line of the membership log. `last_seq` holds a line that tells the number of the last event alone, as
+/// a number or as an object with nothing else.
 struct MembershipLine {
-  std::optional<std::uint64_t> number;
+  std::optional<std::uint64_t> last_seq;
   std::optional<MembershipEvent> event;  // neither: the line cannot be read
 };
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -14,24 +14,24 @@
       {"util", ReportField::utilisation},  {"latency_ms", ReportField::latency_ms},
       {"qps", ReportField::rate},          {"eps", ReportField::errors},
       {"x0", ReportField::pinned},         {"x1", ReportField::loading}};
-  return word(text(value), kWords, ReportField::other);
+  return enum_value(text(value), kWords, ReportField::other);
 }
 
 ClassSettings read_class(const json& row) {
   ClassSettings read;
   read.name = text(key(row, "Name"));
-  read.semantics =
-      word<Semantics>(text(key(row, "Semantics")),
-                      {{"repeatable", Semantics::repeatable}, {"by_key", Semantics::keyed}}, Semantics::once);
-  read.scope = word<KeyScope>(text(key(row, "KeyScope")),
-                              {{"zone", KeyScope::zone}, {"cell", KeyScope::cell}}, KeyScope::all);
+  read.semantics = enum_value<Semantics>(
+      text(key(row, "Semantics")), {{"repeatable", Semantics::repeatable}, {"by_key", Semantics::keyed}},
+      Semantics::once);
+  read.scope = enum_value<KeyScope>(text(key(row, "KeyScope")),
+                                    {{"zone", KeyScope::zone}, {"cell", KeyScope::cell}}, KeyScope::all);
   read.key_window = millis(key(row, "KeyTtl"));
   read.latency_objective = millis(key(row, "Aim"));
   read.deadline = millis(key(row, "HardLimit"));
   read.objective_slowdown = number(key(row, "AimStretch"));
   read.value = number(key(row, "Gain"), 1);
   read.late_value = number(key(row, "LateValue"));
-  read.stream = flag(key(row, "Stream"));
+  read.stream = boolean(key(row, "Stream"));
   return read;
 }
 
@@ -42,9 +42,9 @@
   out.load_window = millis(key(family, "LoadWindow"));
   out.order_timeout = millis(key(family, "OrderTimeout"));
   out.rejects_on_miss = text(key(family, "OnMiss")) == "miss";
-  out.load_orders = flag(key(family, "Orders"));
-  out.reports_warmth = flag(key(family, "TellsWarm"));
-  out.reports_concurrent_calls = flag(key(family, "NotesPeersInHand"));
+  out.load_orders = boolean(key(family, "Orders"));
+  out.reports_warmth = boolean(key(family, "TellsWarm"));
+  out.reports_concurrent_calls = boolean(key(family, "NotesPeersInHand"));
   out.idle_cost = number(key(family, "PriceOfIdle"));
   const json& memory = key(family, "MemoryMbByKind");
   for (std::size_t i = 0; kinds.is_array() && i < kinds.size(); ++i) {
@@ -53,14 +53,14 @@
 }
 
 void read_bounds(const json& bounds, Settings& out) {
-  out.cancel = flag(key(bounds, "Cancel"));
-  out.hedged_attempts = flag(key(bounds, "SecondCopies"));
-  out.probes = flag(key(bounds, "Probes"));
-  out.peer_messages = flag(key(bounds, "PeerMessages"));
-  out.retry_after = flag(key(bounds, "RetryAfter"));
+  out.cancel = boolean(key(bounds, "Cancel"));
+  out.hedged_attempts = boolean(key(bounds, "SecondCopies"));
+  out.probes = boolean(key(bounds, "Probes"));
+  out.peer_messages = boolean(key(bounds, "PeerMessages"));
+  out.retry_after = boolean(key(bounds, "RetryAfter"));
   out.max_retry_after = millis(key(bounds, "MaxRetryAfter"));
   out.connect_timeout = millis(key(bounds, "ConnectTimeout"));
-  out.max_attempts = whole(key(bounds, "SendCap"), 1);
+  out.max_attempts = integer(key(bounds, "SendCap"), 1);
 }
 
 void read_rules(const json& rules, Settings& out) {
@@ -79,8 +79,8 @@
   Settings out;
   out.seed = seed;
   out.zone = text(key(env, "Az"));
-  out.rank = whole(key(env, "Rank"));
-  out.invokers = whole(key(env, "Balancers"), 1);
+  out.rank = integer(key(env, "Rank"));
+  out.invokers = integer(key(env, "Balancers"), 1);
   out.tick = millis(key(env, "Tick"));
   for (const auto& row : key(env, "Classes")) out.classes.push_back(read_class(row));
   for (const auto& row : key(env, "Tenants")) {
@@ -97,9 +97,9 @@
   out.origin_cost = number(key(prices, "Origin"));
   out.probe_cost = number(key(prices, "Probe"));
   const json& load = key(env, "LoadInfo");
-  out.reports =
-      word<ReportMode>(text(key(load, "How")),
-                       {{"piggyback", ReportMode::answers}, {"pull", ReportMode::probe}}, ReportMode::none);
+  out.reports = enum_value<ReportMode>(text(key(load, "How")),
+                                       {{"piggyback", ReportMode::answers}, {"pull", ReportMode::probe}},
+                                       ReportMode::none);
   for (const auto& name : key(load, "Fields")) out.report_fields.push_back(field(name));
   return out;
 }
--- a/src/config/value_checks.cpp
+++ b/src/config/value_checks.cpp
@@ -41,7 +41,7 @@
   return address;
 }
 
-std::string text_value(const json& from, const char* name, const std::string& path, const char* fallback) {
+std::string string_value(const json& from, const char* name, const std::string& path, const char* fallback) {
   const json& value = key(from, name);
   if (value.is_null() && fallback != nullptr) return fallback;
   const bool is_text = value.is_string() && !value.get_ref<const std::string&>().empty();
@@ -53,7 +53,7 @@
   for (const char* name : names) number_within(part, name, path + '.' + name, 0, 0, kMaxNumber);
 }
 
-void check_flags(const json& part, const std::string& path, std::initializer_list<const char*> names) {
+void check_booleans(const json& part, const std::string& path, std::initializer_list<const char*> names) {
   for (const char* name : names) {
     const json& value = key(part, name);
     const bool is_flag = value.is_null() || value.is_boolean();
@@ -61,7 +61,7 @@
   }
 }
 
-void check_word(const json& part, const char* name, const std::string& path,
+void check_enum(const json& part, const char* name, const std::string& path,
                 std::initializer_list<const char*> words) {
   const json& value = key(part, name);
   if (value.is_null()) return;
@@ -71,7 +71,7 @@
   if (!is_known) throw_config_error(path + '.' + name, "no word that is known here: " + value.dump());
 }
 
-void check_rows(const json& part, const char* name, const std::string& path) {
+void check_object_array(const json& part, const char* name, const std::string& path) {
   const json& rows = key(part, name);
   if (rows.is_null()) return;
   const auto is_object = [](const json& row) { return row.is_object(); };
--- a/src/config/value_checks.h
+++ b/src/config/value_checks.h
@@ -19,8 +19,8 @@
 
 /// The same as a whole number; a fraction is cut off.
 template <typename Integer>
-Integer whole_within(const json& from, const char* name, const std::string& path, Integer fallback,
-                     double min, double max) {
+Integer integer_within(const json& from, const char* name, const std::string& path, Integer fallback,
+                       double min, double max) {
   return static_cast<Integer>(number_within(from, name, path, static_cast<double>(fallback), min, max));
 }
 
@@ -28,19 +28,19 @@
 std::string address_value(const json& from, const char* name, const std::string& fallback);
 
 /// A text that isn't empty. A key that is absent is an error where `fallback` is null.
-std::string text_value(const json& from, const char* name, const std::string& path, const char* fallback);
+std::string string_value(const json& from, const char* name, const std::string& path, const char* fallback);
 
 /// Checks that each of the keys is absent or a number that isn't negative.
 void check_numbers(const json& part, const std::string& path, std::initializer_list<const char*> names);
 
 /// Checks that each of the keys is absent, true or false.
-void check_flags(const json& part, const std::string& path, std::initializer_list<const char*> names);
+void check_booleans(const json& part, const std::string& path, std::initializer_list<const char*> names);
 
 /// Checks that the key is absent or one of the words.
-void check_word(const json& part, const char* name, const std::string& path,
+void check_enum(const json& part, const char* name, const std::string& path,
                 std::initializer_list<const char*> words);
 
 /// Checks that the key is absent or an array of objects.
-void check_rows(const json& part, const char* name, const std::string& path);
+void check_object_array(const json& part, const char* name, const std::string& path);
 
 }  // namespace pathstack::config
--- a/src/feed/backoff.h
+++ b/src/feed/backoff.h
@@ -13,21 +13,21 @@
 /// that lost one log together don't come back together. The same seed gives the same pauses.
 class Backoff {
  public:
-  Backoff(core::Millis first, core::Millis most, std::uint64_t seed)
-      : first_(first), most_(most), ceiling_(first), random_(seed) {}
+  Backoff(core::Millis initial, core::Millis max, std::uint64_t seed)
+      : initial_(initial), max_(max), ceiling_(initial), random_(seed) {}
 
-  /// The next pause: between half and all of a ceiling that doubles from `first` up to `most`.
+  /// The next pause: between half and all of a ceiling that doubles from `initial` up to `max`.
   core::Millis next() {
     const core::Millis half = ceiling_ / 2;
-    ceiling_ = std::min(ceiling_ * 2, most_);
+    ceiling_ = std::min(ceiling_ * 2, max_);
     return half + half * fraction();
   }
 
-  /// The next ceiling is `first` again.
-  void reset() { ceiling_ = first_; }
+  /// The next ceiling is `initial` again.
+  void reset() { ceiling_ = initial_; }
 
  private:
-  core::Millis first_, most_, ceiling_;
+  core::Millis initial_, max_, ceiling_;
   std::mt19937_64 random_;
 
   // At least 0, below 1. Written out, as the standard's distributions differ between libraries.
--- a/src/feed/event_sequence.cpp
+++ b/src/feed/event_sequence.cpp
@@ -6,8 +6,8 @@
 
 EventSequence::Result EventSequence::read_line(const std::string& line, core::MemberList& out) {
   auto read = config::read_membership_line(line);
-  if (read.number && *read.number > last_) return Result::gap;
-  if (read.number) return *read.number == last_ ? Result::up_to_date : Result::no_update;
+  if (read.last_seq && *read.last_seq > last_) return Result::gap;
+  if (read.last_seq) return *read.last_seq == last_ ? Result::up_to_date : Result::no_update;
   if (!read.event) return Result::malformed;
   return read_event(std::move(*read.event), out);
 }
--- a/src/feed/list_lease.h
+++ b/src/feed/list_lease.h
@@ -18,9 +18,9 @@
 class ListLease {
  public:
   /// The platform's clocks.
-  static constexpr core::Millis kAfterStop{4000}, kAfterMove{4000}, kAfterBreak{2000};
+  static constexpr core::Millis kStopAllowance{4000}, kMoveAllowance{4000}, kBreakAllowance{2000};
   /// Allowance for the way of a line or a signal to this invoker, by which it is older than its arrival.
-  static constexpr core::Millis kTransit{250};
+  static constexpr core::Millis kTransitAllowance{250};
 
   /// Before the first line nothing says how old the list of the configuration is.
   explicit ListLease(core::Millis now) : until_(now), later_changes_from_(now) {}
@@ -31,30 +31,30 @@
 
   /// A line showed that no event before it is missing; it arrived at `at` or later.
   void confirmed(core::Millis at) {
-    asked_ = false;
-    until_ = std::max(until_, at + kAfterStop - kTransit);
+    request_pending_ = false;
+    until_ = std::max(until_, at + kStopAllowance - kTransitAllowance);
     later_changes_from_ = until_;
   }
   /// An event arrived on a connection that was up to date: what is behind it follows at once.
   void event_received(core::Millis at) {
-    if (!asked_) confirmed(at);
+    if (!request_pending_) confirmed(at);
   }
   /// The question for all later events has left: they count as told now.
-  void asked(core::Millis now) {
-    asked_ = true;
+  void events_requested(core::Millis now) {
+    request_pending_ = true;
     shorten(now, now);
   }
   /// The log has events that this invoker does not have.
-  void fell_behind(core::Millis now) { asked(now); }
-  void connection_broke(core::Millis now) { shorten(now, now + kAfterBreak - kTransit); }
+  void fell_behind(core::Millis now) { events_requested(now); }
+  void connection_lost(core::Millis now) { shorten(now, now + kBreakAllowance - kTransitAllowance); }
   void log_moved(core::Millis now) {
-    const core::Millis until = now + kAfterMove - kTransit;
+    const core::Millis until = now + kMoveAllowance - kTransitAllowance;
     shorten(until, until);
   }
 
  private:
   core::Millis until_, later_changes_from_;
-  bool asked_ = true;  // and not answered to the end
+  bool request_pending_ = true;  // and not answered to the end
 
   void shorten(core::Millis until, core::Millis later_changes_from) {
     until_ = std::min(until_, until);
--- a/src/feed/membership_client.cpp
+++ b/src/feed/membership_client.cpp
@@ -5,7 +5,7 @@
 namespace pathstack::feed {
 namespace {
 
-constexpr std::size_t kMostIdsLogged = 8;
+constexpr std::size_t kMaxLoggedIds = 8;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
       on_update_(std::move(on_update)),
       max_event_bytes_(max_event_bytes),
       timeouts_(timeouts),
-      backoff_(timeouts.backoff_first, timeouts.backoff_most, seed),
+      backoff_(timeouts.backoff_initial, timeouts.backoff_max, seed),
       staleness_(timeouts),
       lease_(loop.now()) {}
 
@@ -98,11 +98,11 @@
   return true;
 }
 
-void MembershipClient::on_silence_expired(const WatchConnection& connection) {
+void MembershipClient::on_silence_timeout(const WatchConnection& connection) {
   if (is_current(connection)) staleness_.silence_expired();
 }
 
-void MembershipClient::on_line_expired(const WatchConnection& connection) {
+void MembershipClient::on_line_timeout(const WatchConnection& connection) {
   if (is_current(connection)) staleness_.line_expired();
 }
 
@@ -114,14 +114,14 @@
                                            {"last", std::to_string(sequence_.last())}});
   }
   if (connection.end_cause() != net::StreamEnd::local) {
-    lease_.connection_broke(loop_.now());
+    lease_.connection_lost(loop_.now());
     report_lease();
   }
   reconnect_later();
 }
 
-void MembershipClient::on_asked(std::uint64_t last) {
-  lease_.asked(loop_.now());
+void MembershipClient::on_events_requested(std::uint64_t last) {
+  lease_.events_requested(loop_.now());
   report_lease();
   if (event_log_ == nullptr) return;
   event_log_->write("membership.asked", {{"address", address_}, {"since", std::to_string(last)}});
@@ -137,7 +137,7 @@
     if (state == core::WorkerState::ready) ++ready;
     if (state == core::WorkerState::draining) ++draining;
     if (state == core::WorkerState::gone) ++gone;
-    if (list.members.size() > kMostIdsLogged) continue;
+    if (list.members.size() > kMaxLoggedIds) continue;
     if (!ids.empty()) ids += ',';
     ids += member.entry.worker;
   }
--- a/src/feed/membership_client.h
+++ b/src/feed/membership_client.h
@@ -74,11 +74,11 @@
   net::Loop::TimerId reconnect_timer_;
 
   bool is_current(const WatchConnection& connection) const override;
-  void on_asked(std::uint64_t last) override;
+  void on_events_requested(std::uint64_t last) override;
   std::uint64_t last_sequence() const override { return sequence_.last(); }
   bool on_line(const std::string& line) override;
-  void on_silence_expired(const WatchConnection& connection) override;
-  void on_line_expired(const WatchConnection& connection) override;
+  void on_silence_timeout(const WatchConnection& connection) override;
+  void on_line_timeout(const WatchConnection& connection) override;
   void on_ended(const WatchConnection& connection) override;
 
   void connect();
--- a/src/feed/staleness_timeout.h
+++ b/src/feed/staleness_timeout.h
@@ -14,20 +14,20 @@
 class StalenessTimeout {
  public:
   explicit StalenessTimeout(const Timeouts& timeouts)
-      : timeouts_(timeouts), silence_(timeouts.silence_first), line_(timeouts.line_first) {}
+      : timeouts_(timeouts), silence_(timeouts.silence_initial), line_(timeouts.line_initial) {}
 
   /// The longest time without a byte.
   core::Millis silence() const { return silence_; }
   /// The longest time without a complete line, while bytes arrive.
   core::Millis line() const { return line_; }
 
-  void silence_expired() { silence_ = std::min(silence_ * 2, timeouts_.silence_most); }
-  void line_expired() { line_ = std::min(line_ * 2, timeouts_.line_most); }
+  void silence_expired() { silence_ = std::min(silence_ * 2, timeouts_.silence_max); }
+  void line_expired() { line_ = std::min(line_ * 2, timeouts_.line_max); }
 
   /// A line was received and understood.
-  void line_received() { silence_ = timeouts_.silence_first; }
+  void line_received() { silence_ = timeouts_.silence_initial; }
   /// Not for a repeated event or a number: these may precede the list that takes long, on each connection.
-  void update_received() { line_ = timeouts_.line_first; }
+  void update_received() { line_ = timeouts_.line_initial; }
 
  private:
   Timeouts timeouts_;
--- a/src/feed/timeouts.h
+++ b/src/feed/timeouts.h
@@ -10,12 +10,12 @@
   /// For a connection to be made.
   core::Millis connect{500};
   /// The ceiling of the pause between connections: the first one, and the bound of its growth.
-  core::Millis backoff_first{50}, backoff_most{400};  // calls may have waited for the log's return
+  core::Millis backoff_initial{50}, backoff_max{400};  // calls may have waited for the log's return
   /// For any byte on a connection. The log writes a line every second; its updates count as received 4 s
   /// after it has stopped.
-  core::Millis silence_first{1600}, silence_most{3000};
+  core::Millis silence_initial{1600}, silence_max{3000};
   /// For a complete line. A log under load may take long over a complete list, which is one line.
-  core::Millis line_first{1600}, line_most{60000};
+  core::Millis line_initial{1600}, line_max{60000};
 };
 
 }  // namespace pathstack::feed
--- a/src/feed/watch_connection.cpp
+++ b/src/feed/watch_connection.cpp
@@ -13,7 +13,8 @@
       owner_(owner),
       staleness_(staleness),
       splitter_(max_line_bytes) {
-  restart_timer(silence_timer_, connect_timeout, [this] { end_counted(core::Counter::feed_connect_late); });
+  restart_timer(silence_timer_, connect_timeout,
+                [this] { end_with_reason(core::Counter::feed_connect_late); });
 }
 
 WatchConnection::~WatchConnection() { cancel_timers(); }
@@ -22,21 +23,21 @@
   counters_.add(core::Counter::feed_connections);
   const std::uint64_t last = owner_.last_sequence();
   write("since " + std::to_string(last) + "\n");
-  owner_.on_asked(last);
-  expect_bytes();
-  expect_line();
+  owner_.on_events_requested(last);
+  restart_silence_timer();
+  restart_line_timer();
 }
 
 void WatchConnection::received(std::string_view bytes) {
   if (!owner_.is_current(*this)) return;
-  expect_bytes();
+  restart_silence_timer();
   std::vector<std::string> lines;
   const bool fits = splitter_.take(bytes, lines);
   for (const auto& line : lines) {
-    if (!owner_.on_line(line)) return end_counted(core::Counter::feed_malformed_or_gap);
+    if (!owner_.on_line(line)) return end_with_reason(core::Counter::feed_malformed_or_gap);
   }
-  if (!fits) return end_counted(core::Counter::feed_malformed_or_gap);
-  if (!lines.empty()) expect_line();
+  if (!fits) return end_with_reason(core::Counter::feed_malformed_or_gap);
+  if (!lines.empty()) restart_line_timer();
 }
 
 void WatchConnection::ended() {
@@ -44,17 +45,17 @@
   owner_.on_ended(*this);
 }
 
-void WatchConnection::expect_bytes() {
+void WatchConnection::restart_silence_timer() {
   restart_timer(silence_timer_, staleness_.silence(), [this] {
-    owner_.on_silence_expired(*this);
-    end_counted(core::Counter::feed_quiet);
+    owner_.on_silence_timeout(*this);
+    end_with_reason(core::Counter::feed_quiet);
   });
 }
 
-void WatchConnection::expect_line() {
+void WatchConnection::restart_line_timer() {
   restart_timer(line_timer_, staleness_.line(), [this] {
-    owner_.on_line_expired(*this);
-    end_counted(core::Counter::feed_line_late);
+    owner_.on_line_timeout(*this);
+    end_with_reason(core::Counter::feed_line_late);
   });
 }
 
@@ -69,7 +70,7 @@
   loop().cancel(line_timer_);
 }
 
-void WatchConnection::end_counted(core::Counter reason) {
+void WatchConnection::end_with_reason(core::Counter reason) {
   if (own_end_reason_.empty()) own_end_reason_ = core::counter_info(reason).name;
   counters_.add(reason);
   end_later();
--- a/src/feed/watch_connection.h
+++ b/src/feed/watch_connection.h
@@ -25,7 +25,7 @@
   virtual bool is_current(const WatchConnection& connection) const = 0;
 
   /// The question for all events after `last` leaves now.
-  virtual void on_asked(std::uint64_t last) = 0;
+  virtual void on_events_requested(std::uint64_t last) = 0;
 
   /// The sequence number after which the log is to go on.
   virtual std::uint64_t last_sequence() const = 0;
@@ -34,8 +34,8 @@
   /// connection then ends.
   virtual bool on_line(const std::string& line) = 0;
 
-  virtual void on_silence_expired(const WatchConnection& connection) = 0;
-  virtual void on_line_expired(const WatchConnection& connection) = 0;
+  virtual void on_silence_timeout(const WatchConnection& connection) = 0;
+  virtual void on_line_timeout(const WatchConnection& connection) = 0;
 
   /// The connection has ended, for whatever reason.
   virtual void on_ended(const WatchConnection& connection) = 0;
@@ -71,11 +71,11 @@
   void received(std::string_view bytes) override;
   void ended() override;
 
-  void expect_bytes();
-  void expect_line();
+  void restart_silence_timer();
+  void restart_line_timer();
   void restart_timer(net::Loop::TimerId& timer, core::Millis timeout, std::function<void()> callback);
   void cancel_timers();
-  void end_counted(core::Counter reason);
+  void end_with_reason(core::Counter reason);
 };
 
 }  // namespace pathstack::feed
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -28,7 +28,7 @@
 }
 
 policy::Event decode_start(const json& message) {
-  const std::uint64_t seed = config::large(at(message, 1));
+  const std::uint64_t seed = config::uint64(at(message, 1));
   return policy::event::Start{config::read_settings(at(message, 2), seed)};
 }
 
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 using config::at;
-using config::flag;
+using config::boolean;
+using config::integer;
 using config::json;
-using config::large;
 using config::millis;
 using config::number;
 using config::text;
-using config::whole;
+using config::uint64;
 namespace event = policy::event;
 
 // Flags of an `Order` message.
@@ -36,7 +36,7 @@
       {"GOOD", Outcome::ok},      {"BAD", Outcome::error}, {"FULL", Outcome::full},
       {"LATE", Outcome::timeout}, {"RST", Outcome::reset}, {"NOCONN", Outcome::connect_failed},
       {"NOP", Outcome::moot},     {"MISS", Outcome::miss}, {"CXL", Outcome::cancelled}};
-  return config::word(text(value), kOutcomes, Outcome::error);
+  return config::enum_value(text(value), kOutcomes, Outcome::error);
 }
 
 policy::Warmth decode_warmth(int remark) {
@@ -54,7 +54,7 @@
 }
 
 policy::WorkerState decode_worker_state(const json& value) {
-  switch (whole(value, kReadyState)) {
+  switch (integer(value, kReadyState)) {
     case 0: return policy::WorkerState::gone;
     case 1: return policy::WorkerState::draining;
     default: return policy::WorkerState::ready;
@@ -65,7 +65,7 @@
   if (!row.is_array()) throw ProtocolError("list entry is not an array");
   policy::WorkerEntry entry;
   entry.worker = required_text(at(row, 0), "worker");
-  entry.cell = whole(at(row, 1));
+  entry.cell = integer(at(row, 1));
   entry.weight = number(at(row, 2), 1);
   entry.kind = text(at(row, 3));
   entry.state = decode_worker_state(at(row, 4));
@@ -75,7 +75,7 @@
 }
 
 policy::ListKind decode_list_kind(const json& value) {
-  switch (whole(value)) {
+  switch (integer(value)) {
     case 1: return policy::ListKind::delta;
     case 2: return policy::ListKind::cached;
     case 4: return policy::ListKind::full;
@@ -96,44 +96,44 @@
   event::Request request;
   request.id = required_text(at(message, 1), "request id");
   request.class_name = text(at(message, 2));
-  const int flags = whole(at(message, 5));
+  const int flags = integer(at(message, 5));
   const bool has_cost_hint = (flags & kHasCostHint) != 0 && at(message, 3).is_number();
   if (has_cost_hint) request.cost_hint = number(at(message, 3));
   request.tenant = text(at(message, 4));
   request.retry = (flags & kIsRetry) != 0;
   request.write = (flags & kIsWrite) != 0;
   request.memory_mb = number(at(message, 6));
-  request.function = large(at(message, 7));
+  request.function = uint64(at(message, 7));
   if (at(message, 8).is_number()) request.load_hint = millis(at(message, 8));
   request.expires_in = millis(at(message, 9));
-  request.concurrency = whole(at(message, 10), 1);
+  request.concurrency = integer(at(message, 10), 1);
   return request;
 }
 
 policy::Event decode_attempt_ended(const json& message) {
   event::AttemptEnded answer;
   answer.id = required_text(at(message, 1), "request id");
-  const int remark = whole(at(message, 2));
+  const int remark = integer(at(message, 2));
   answer.warmth = decode_warmth(remark);
   answer.concurrent_calls = remark >> kConcurrentCallsShift;
   answer.outcome = decode_outcome(at(message, 3));
-  answer.request_finished = flag(at(message, 4));
+  answer.request_finished = boolean(at(message, 4));
   answer.elapsed = millis(at(message, 5));
-  answer.attempt = whole(at(message, 6));
+  answer.attempt = integer(at(message, 6));
   answer.worker = text(at(message, 7));
   answer.report = decode_load_report(at(message, 8));
   return answer;
 }
 
-policy::Event decode_timer(const json& message) { return event::Timer{large(at(message, 1))}; }
+policy::Event decode_timer(const json& message) { return event::Timer{uint64(at(message, 1))}; }
 
 policy::Event decode_load_ended(const json& message) {
   event::LoadEnded loaded;
   loaded.worker = text(at(message, 1));
-  loaded.function = large(at(message, 2));
+  loaded.function = uint64(at(message, 2));
   loaded.outcome = decode_outcome(at(message, 3));
   loaded.elapsed = millis(at(message, 4));
-  loaded.instances = whole(at(message, 5));
+  loaded.instances = integer(at(message, 5));
   return loaded;
 }
 
@@ -142,7 +142,7 @@
 }
 
 policy::Event decode_stream_started(const json& message) {
-  return event::StreamStarted{text(at(message, 1)), whole(at(message, 2))};
+  return event::StreamStarted{text(at(message, 1)), integer(at(message, 2))};
 }
 
 policy::Event decode_probe_ended(const json& message) {
@@ -155,7 +155,7 @@
 }
 
 policy::Event decode_peer_message(const json& message) {
-  return event::PeerMessage{whole(at(message, 1)), text(at(message, 2))};
+  return event::PeerMessage{integer(at(message, 1)), text(at(message, 2))};
 }
 
 policy::Event decode_stop(const json& /*message*/) { return event::Stop{}; }
--- a/src/xds/assignment.cpp
+++ b/src/xds/assignment.cpp
@@ -28,7 +28,7 @@
 enum class HealthStatus { unknown = 0, healthy = 1, degraded = 5 };
 
 // The JSON form of a protobuf message may name its fields in either way.
-const json& either(const json& object, const char* snake_case, const char* camel_case) {
+const json& snake_or_camel(const json& object, const char* snake_case, const char* camel_case) {
   const json& found = key(object, snake_case);
   return found.is_null() ? key(object, camel_case) : found;
 }
@@ -45,15 +45,15 @@
 bool is_assignment(const json& resource) {
   const std::string type = text(key(resource, "@type"));
   if (!type.empty()) return ends_with(type, kAssignmentType);
-  return !either(resource, "cluster_name", "clusterName").is_null();
+  return !snake_or_camel(resource, "cluster_name", "clusterName").is_null();
 }
 
 // Nothing new goes to what the list does not call healthy, so UNHEALTHY and TIMEOUT count as DRAINING.
 WorkerState state_of(const json& endpoint) {
-  const json& health = either(endpoint, "health_status", "healthStatus");
+  const json& health = snake_or_camel(endpoint, "health_status", "healthStatus");
   bool takes_calls = false;
   if (health.is_number()) {
-    const auto status = static_cast<HealthStatus>(config::whole(health));
+    const auto status = static_cast<HealthStatus>(config::integer(health));
     takes_calls = status == HealthStatus::unknown || status == HealthStatus::healthy ||
                   status == HealthStatus::degraded;
   } else {
@@ -65,9 +65,10 @@
 
 // Empty if there is no numeric address with a port.
 std::string address_of(const json& endpoint) {
-  const json& socket = either(key(key(endpoint, "endpoint"), "address"), "socket_address", "socketAddress");
+  const json& socket =
+      snake_or_camel(key(key(endpoint, "endpoint"), "address"), "socket_address", "socketAddress");
   const std::string host = text(key(socket, "address"));
-  const int port = config::whole(either(socket, "port_value", "portValue"));
+  const int port = config::integer(snake_or_camel(socket, "port_value", "portValue"));
   const bool is_ipv6 = host.find(':') != std::string::npos;
   std::string address = (is_ipv6 ? '[' + host + ']' : host) + ':' + std::to_string(port);
   if (port <= 0 || !net::valid_address(address)) return {};
@@ -90,32 +91,32 @@
   std::string service = cluster;
   for (const json* resource : resources) {
     if (is_assignment(*resource) || text(key(*resource, "name")) != cluster) continue;
-    const json& own = either(*resource, "load_assignment", "loadAssignment");
+    const json& own = snake_or_camel(*resource, "load_assignment", "loadAssignment");
     if (own.is_object()) inlined = &own;
-    const json& eds = either(*resource, "eds_cluster_config", "edsClusterConfig");
-    const std::string named = text(either(eds, "service_name", "serviceName"));
+    const json& eds = snake_or_camel(*resource, "eds_cluster_config", "edsClusterConfig");
+    const std::string named = text(snake_or_camel(eds, "service_name", "serviceName"));
     if (!named.empty()) service = named;
   }
   if (inlined != nullptr) return inlined;
   const json* found = nullptr;
   for (const json* resource : resources) {
     if (!is_assignment(*resource)) continue;
-    if (text(either(*resource, "cluster_name", "clusterName")) == service) found = resource;
+    if (text(snake_or_camel(*resource, "cluster_name", "clusterName")) == service) found = resource;
   }
   return found;
 }
 
 // Collects the hosts of one assignment.
-class AssignmentReader {
+class EndpointCollector {
  public:
-  AssignmentReader() { list_.complete = true; }
+  EndpointCollector() { list_.complete = true; }
 
-  std::optional<ReadError> read_group(const json& group) {
-    const json& endpoints = either(group, "lb_endpoints", "lbEndpoints");
-    if (!group.is_object() || !is_list(endpoints)) {
-      return ReadError{"a group of endpoints is not an object with a list: " + quote(group)};
+  std::optional<ReadError> read_locality(const json& locality) {
+    const json& endpoints = snake_or_camel(locality, "lb_endpoints", "lbEndpoints");
+    if (!locality.is_object() || !is_list(endpoints)) {
+      return ReadError{"a group of endpoints is not an object with a list: " + quote(locality)};
     }
-    const std::string zone = text(key(key(group, "locality"), "zone"));
+    const std::string zone = text(key(key(locality, "locality"), "zone"));
     for (const auto& endpoint : endpoints) {
       if (auto error = read_endpoint(endpoint, zone)) return error;
     }
@@ -134,8 +135,8 @@
     if (member.address.empty() || !addresses_.insert(member.address).second) {
       return ReadError{"an endpoint without a numeric address and port of its own: " + quote(endpoint)};
     }
-    const json& weight = either(endpoint, "load_balancing_weight", "loadBalancingWeight");
-    const json& metadata = either(key(endpoint, "metadata"), "filter_metadata", "filterMetadata");
+    const json& weight = snake_or_camel(endpoint, "load_balancing_weight", "loadBalancingWeight");
+    const json& metadata = snake_or_camel(key(endpoint, "metadata"), "filter_metadata", "filterMetadata");
     member.entry.state = state_of(endpoint);
     member.entry.zone = zone;
     member.entry.weight = config::number(weight, 1);
@@ -150,13 +151,13 @@
 Result<core::MemberList, ReadError> read_assignment(const json& file, const std::string& cluster) {
   const json* assignment = find_assignment(file, cluster);
   if (assignment == nullptr) return ReadError{"no endpoints of cluster '" + cluster + "'"};
-  const json& groups = key(*assignment, "endpoints");
-  if (!is_list(groups)) return ReadError{"endpoints is not a list"};
-  AssignmentReader reader;
-  for (const auto& group : groups) {
-    if (auto error = reader.read_group(group)) return *error;
+  const json& localities = key(*assignment, "endpoints");
+  if (!is_list(localities)) return ReadError{"endpoints is not a list"};
+  EndpointCollector collector;
+  for (const auto& locality : localities) {
+    if (auto error = collector.read_locality(locality)) return *error;
   }
-  return reader.take();
+  return collector.take();
 }
 
 }  // namespace pathstack::xds
--- a/src/xds/host_file.cpp
+++ b/src/xds/host_file.cpp
@@ -27,22 +27,22 @@
       on_rejected_(std::move(on_rejected)) {}
 
 HostFile::Status HostFile::start() {
-  watch_.needs_reading(stamp(), loop_.now());
+  watch_.needs_read(stamp(), loop_.now());
   Status status = read();
   watch_.read_done(static_cast<bool>(status), loop_.now());
-  schedule_look();
+  schedule_poll();
   return status;
 }
 
-HostFile::Status HostFile::move(const std::string& path, const std::string& cluster) {
+HostFile::Status HostFile::switch_source(const std::string& path, const std::string& cluster) {
   Source previous_source = std::exchange(source_, Source{path, cluster});
-  Reading previous_reading = reading_;
+  LastRead previous_read = last_read_;
   FileWatch watch;
-  watch.needs_reading(stamp(), loop_.now());
+  watch.needs_read(stamp(), loop_.now());
   Status status = read();
   if (!status) {
     source_ = std::move(previous_source);
-    reading_ = std::move(previous_reading);
+    last_read_ = std::move(previous_read);
     return status;
   }
   watch.read_done(true, loop_.now());
@@ -63,12 +63,12 @@
   const std::optional<std::string> content = config::read_file(source_.path);
   if (!content) return ReadError{"cannot be read"};
   const std::string version = version_of(source_.cluster, *content);
-  if (version != reading_.version) {
-    reading_.version = version;
-    reading_.error = apply(*content);
-    counters_.add(reading_.error ? core::Counter::xds_rejected : core::Counter::xds_lists);
+  if (version != last_read_.version) {
+    last_read_.version = version;
+    last_read_.error = apply(*content);
+    counters_.add(last_read_.error ? core::Counter::xds_rejected : core::Counter::xds_lists);
   }
-  if (reading_.error) return *reading_.error;
+  if (last_read_.error) return *last_read_.error;
   return std::monostate();
 }
 
@@ -97,13 +97,13 @@
   has_list_ = true;
 }
 
-void HostFile::schedule_look() {
-  timer_ = loop_.at(loop_.now() + interval_, [this] { look(); });
+void HostFile::schedule_poll() {
+  timer_ = loop_.at(loop_.now() + interval_, [this] { poll(); });
 }
 
-void HostFile::look() {
-  schedule_look();
-  if (!watch_.needs_reading(stamp(), loop_.now())) return;
+void HostFile::poll() {
+  schedule_poll();
+  if (!watch_.needs_read(stamp(), loop_.now())) return;
   const bool changed = watch_.changed();
   const Status status = read();
   watch_.read_done(static_cast<bool>(status), loop_.now());
--- a/src/xds/host_file.h
+++ b/src/xds/host_file.h
@@ -41,14 +41,14 @@
   Status start();
 
   /// The list is in another file, or is another cluster's, from now on. On an error nothing has changed.
-  Status move(const std::string& path, const std::string& cluster);
+  Status switch_source(const std::string& path, const std::string& cluster);
 
  private:
   struct Source {
     std::string path, cluster;
   };
   /// What was read last.
-  struct Reading {
+  struct LastRead {
     std::string version;             // cluster, size and hash of the content
     std::optional<ReadError> error;  // none: its list is in force
   };
@@ -61,7 +61,7 @@
   OnRejected on_rejected_;
   net::Loop::TimerId timer_;
   FileWatch watch_;
-  Reading reading_;
+  LastRead last_read_;
   bool has_list_ = false;
   std::map<std::string, core::Millis> started_;  // by host, for the hosts on the last list
 
@@ -69,8 +69,8 @@
   Status read();
   std::optional<ReadError> apply(const std::string& content);
   void set_start_times(core::MemberList& list);
-  void schedule_look();
-  void look();
+  void schedule_poll();
+  void poll();
 };
 
 }  // namespace pathstack::xds
--- a/tests/invoker/clock_test.cpp
+++ b/tests/invoker/clock_test.cpp
@@ -62,7 +62,7 @@
 int count_reads(xds::FileWatch& watch, Millis start, bool succeeds) {
   int reads = 0;
   for (Millis now = start; now < start + Millis(60000); now += Millis(500)) {
-    if (!watch.needs_reading("1 100 5 0", now)) continue;
+    if (!watch.needs_read("1 100 5 0", now)) continue;
     ++reads;
     watch.read_done(succeeds, now);
   }
@@ -78,13 +78,13 @@
 
 TEST_CASE("a file is read once more after its settling time, however late the check is") {
   xds::FileWatch watch;
-  CHECK(watch.needs_reading("a", Millis(0)));
+  CHECK(watch.needs_read("a", Millis(0)));
   watch.read_done(true, Millis(0));
-  CHECK(watch.needs_reading("a", Millis(kHourMs)));
+  CHECK(watch.needs_read("a", Millis(kHourMs)));
   watch.read_done(true, Millis(kHourMs));
-  CHECK_FALSE(watch.needs_reading("a", Millis(kHourMs + 500)));
-  CHECK_FALSE(watch.needs_reading("", Millis(kHourMs + 1000)));
-  CHECK(watch.needs_reading("b", Millis(kHourMs + 1500)));
+  CHECK_FALSE(watch.needs_read("a", Millis(kHourMs + 500)));
+  CHECK_FALSE(watch.needs_read("", Millis(kHourMs + 1000)));
+  CHECK(watch.needs_read("b", Millis(kHourMs + 1500)));
   CHECK(watch.changed());
 }
 
@@ -92,9 +92,9 @@
   xds::FileWatch watch;
   // 5 in the settling time, then after delays of 0.5, 1, 2, 4 and then 8 s each.
   CHECK(count_reads(watch, Millis(0), false) == 15);
-  CHECK(watch.needs_reading("1 100 5 0", Millis(kHourMs)));
+  CHECK(watch.needs_read("1 100 5 0", Millis(kHourMs)));
   watch.read_done(true, Millis(kHourMs));
-  CHECK_FALSE(watch.needs_reading("1 100 5 0", Millis(2 * kHourMs)));
+  CHECK_FALSE(watch.needs_read("1 100 5 0", Millis(2 * kHourMs)));
 }
 
 // Regression: an exception of the stream library left the loop and ended the program.
@@ -117,10 +117,10 @@
   path.make_unreadable();
   REQUIRE(turn_until([&] { return !faults.empty(); }));
   CHECK(faults[0] == "cannot be read");
-  CHECK_FALSE(file.move(path.file(), "bins"));
+  CHECK_FALSE(file.switch_source(path.file(), "bins"));
   CHECK(updates.size() == 1);
   path.remove();
-  CHECK_FALSE(file.move(path.file(), "bins"));
+  CHECK_FALSE(file.switch_source(path.file(), "bins"));
   path.write(endpoint_list(2));
   REQUIRE(turn_until([&] { return updates.size() == 2; }));
   CHECK(updates[1].members.at(0).address == "127.0.0.1:2");
@@ -138,13 +138,13 @@
   const std::string next = endpoint_list(2);
   for (std::size_t bytes = 0; bytes < next.size(); ++bytes) {
     path.write(next.substr(0, bytes));
-    const auto moved = file.move(path.file(), "bins");
+    const auto moved = file.switch_source(path.file(), "bins");
     REQUIRE_FALSE(moved);
     CHECK_FALSE(moved.error().reason.empty());
   }
   CHECK(updates.size() == 1);
   path.write(next);
-  CHECK(file.move(path.file(), "bins"));
+  CHECK(file.switch_source(path.file(), "bins"));
   CHECK(updates.size() == 2);
 }
 
--- a/tests/invoker/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -25,14 +25,14 @@
 
 using nlohmann::json;
 
-json good() {
+json valid_config() {
   return json::parse(
       R"({"name":"n3","listen":"127.0.0.1:5050","seed":"8c1f30d27a5be964","changelog":"127.0.0.1:9092",
     "limits":{"memory_mb":192,"sockets":1024},"known":{"seq":0,"results":[]},
     "settings":{"Classes":[{"Name":"bin-check","HardLimit":2000}],"Bounds":{"SendCap":4},
     "LoadInfo":{"Fields":["util"]}}})");
 }
-std::string fault_of(const json& file) {
+std::string error_of(const json& file) {
   try {
     config::read_config(file, "", "");
   } catch (const config::ConfigError& fault) { return fault.what(); }
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("a faulty configuration is refused by the name of its key") {
-  CHECK(fault_of(good()).empty());
+  CHECK(error_of(valid_config()).empty());
   const std::vector<std::pair<const char*, json>> faults = {{"/listen", "here"},
                                                             {"/seed", "12"},
                                                             {"/changelog", 5},
@@ -51,13 +51,13 @@
                                                             {"/settings/Bounds/SendCap", 0},
                                                             {"/settings/Classes/0/HardLimit", 0}};
   for (const auto& [path, value] : faults) {
-    json file = good();
+    json file = valid_config();
     const json::json_pointer at{std::string(path)};
     file[at] = value;
     const std::string key = at.back() == "HardLimit" ? at.back() : std::string(path + 1);
     std::string dotted = key;
     std::replace(dotted.begin(), dotted.end(), '/', '.');
-    CHECK_THAT(fault_of(file), Catch::Contains(dotted));
+    CHECK_THAT(error_of(file), Catch::Contains(dotted));
   }
 }
 
@@ -84,22 +84,22 @@
   for (const auto& [name, value] : faults) {
     std::string path = "/" + std::string(name);
     std::replace(path.begin(), path.end(), '.', '/');
-    json file = good();
+    json file = valid_config();
     file["settings"]["Tenants"] = json::array({{{"Name", "a"}, {"Share", 1}}});
-    REQUIRE(fault_of(file).empty());
+    REQUIRE(error_of(file).empty());
     file[json::json_pointer(path)] = value;
-    CHECK_THAT(fault_of(file), Catch::Contains("." + json::json_pointer(path).back() + ": "));
+    CHECK_THAT(error_of(file), Catch::Contains("." + json::json_pointer(path).back() + ": "));
   }
-  json file = good();
+  json file = valid_config();
   file["settings"]["Rules"] = {{"DrainGrace", nullptr}, {"Curfew", "22:00"}};
   file["settings"]["Lanterns"] = {1, "two"};
-  CHECK(fault_of(file).empty());
+  CHECK(error_of(file).empty());
 }
 
 // Failure found on a variant of the settings with peer messages: hosts were probed to tell invokers that hear
 // nothing.
 TEST_CASE("the module of an invoker has no peers, whatever the settings allow") {
-  json file = good();
+  json file = valid_config();
   file["settings"]["Bounds"]["PeerMessages"] = true;
   file["settings"]["Bounds"]["Probes"] = true;
   file["settings"]["Balancers"] = 30;
@@ -111,21 +111,21 @@
 }
 
 TEST_CASE("triggers need a broker and queues, and make platform keys optional") {
-  json file = good();
+  json file = valid_config();
   file.erase("listen");
   file.erase("changelog");
   file.erase("seed");
   file["amqp"] = {{"broker", "127.0.0.1:5672"}, {"queues", {"calls"}}};
   file["xds"] = {{"file", "hosts.json"}, {"cluster", "bins"}};
-  CHECK(fault_of(file).empty());
+  CHECK(error_of(file).empty());
   file["amqp"]["queues"] = json::array();
-  CHECK_THAT(fault_of(file), Catch::Contains("amqp.queues"));
+  CHECK_THAT(error_of(file), Catch::Contains("amqp.queues"));
   file["amqp"] = {{"broker", "rabbit"}, {"queues", {"calls"}}};
-  CHECK_THAT(fault_of(file), Catch::Contains("amqp.broker"));
+  CHECK_THAT(error_of(file), Catch::Contains("amqp.broker"));
   file["amqp"] = {{"broker", "127.0.0.1:5672"}, {"queues", {"calls"}}, {"prefetch", 0}};
-  CHECK_THAT(fault_of(file), Catch::Contains("amqp.prefetch"));
+  CHECK_THAT(error_of(file), Catch::Contains("amqp.prefetch"));
   file.erase("amqp");
-  CHECK_THAT(fault_of(file), Catch::Contains("seed") || Catch::Contains("listen"));
+  CHECK_THAT(error_of(file), Catch::Contains("seed") || Catch::Contains("listen"));
 }
 
 json endpoint(int port, const json& health) {
@@ -255,7 +255,7 @@
 
 TEST_CASE("a configuration file that breaks off at any byte is refused, with the name of the file") {
   const TemporaryPath path;
-  const std::string whole = good().dump();
+  const std::string whole = valid_config().dump();
   for (std::size_t bytes = 0; bytes < whole.size(); ++bytes) {
     path.write(whole.substr(0, bytes));
     CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
@@ -263,7 +263,7 @@
   path.write(whole + whole.substr(whole.size() / 2));  // in place over a longer one
   CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
   path.write(whole);
-  CHECK(config::read_config_file(path.file()).document == good());
+  CHECK(config::read_config_file(path.file()).document == valid_config());
 }
 
 TEST_CASE("a configuration file that fails to be read is refused, with the name of the file") {
@@ -291,7 +291,7 @@
 TEST_CASE("a configuration that is whole only after SIGHUP comes into force by itself") {
   net::Loop loop;
   const TemporaryPath path;
-  json next = good();
+  json next = valid_config();
   next["changelog"] = "127.0.0.1:9093";
   const std::string text = next.dump();
   // Empty, half, absent for a moment during a replacement, and a read that fails.
--- a/tests/invoker/failing_calls_test.cpp
+++ b/tests/invoker/failing_calls_test.cpp
@@ -325,7 +325,7 @@
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog log(loop, pool);
-  log.breaks_off = false;
+  log.truncates_replies = false;
   std::size_t events = 0;
   feed::MembershipClient client(loop, pool, counters, log.server.address(), feed::EventSequence(0),
                                 [&](const core::MemberList&) { ++events; });
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -25,9 +25,9 @@
   client.start();
   for (int i = 0; i < 5000 && updates.size() < all.size(); ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(updates == all);
-  CHECK(log.asked.size() > 1);
-  CHECK(log.asked.front() == 3);
-  CHECK(std::is_sorted(log.asked.begin(), log.asked.end()));
+  CHECK(log.requested_since.size() > 1);
+  CHECK(log.requested_since.front() == 3);
+  CHECK(std::is_sorted(log.requested_since.begin(), log.requested_since.end()));
 }
 
 TEST_CASE("a change log that moves is asked at its new address at once; the old one is left") {
@@ -46,13 +46,13 @@
     return until();
   };
   client.start();
-  REQUIRE(turn_until([&] { return old.asked.size() == 1; }));
+  REQUIRE(turn_until([&] { return old.requested_since.size() == 1; }));
   client.move(next.server.address());
   REQUIRE(turn_until([&] { return updates.size() == 17; }));
   CHECK(updates.front() == "s4");
-  CHECK(next.asked.front() == 3);
+  CHECK(next.requested_since.front() == 3);
   CHECK(turn_until([&] { return old.server.peers.empty(); }));
-  CHECK(old.asked.size() == 1);
+  CHECK(old.requested_since.size() == 1);
   CHECK(counters.value(core::Counter::feed_moves) == 1);
 }
 
@@ -68,14 +68,14 @@
                                 [&](const core::MemberList&) { ++updates; });
   client.start();
   Millis next = loop.now();
-  for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
+  for (int i = 0; i < 5000 && log.requested_since.size() < 2; ++i) {
     loop.turn(loop.now() + Millis(20), [] {});
     if (loop.now() < next) continue;
     next = loop.now() + Millis(20);
     for (const auto& peer : log.server.peers) peer->write("x");  // it trickles on, but no line ends
   }
-  CHECK(log.asked.size() == 2);
-  CHECK(log.asked.back() == updates);
+  CHECK(log.requested_since.size() == 2);
+  CHECK(log.requested_since.back() == updates);
 }
 
 // Failure found in review: an event with a row that cannot be read was passed over, and its host lost for
@@ -86,8 +86,8 @@
   core::Counters counters;
   StandInLog log(loop, pool);
   log.events = 4;
-  log.spoilt_once = 3;
-  log.breaks_off = false;
+  log.malformed_once = 3;
+  log.truncates_replies = false;
   log.stays_open = true;
   std::vector<std::string> updates;
   feed::MembershipClient client(
@@ -96,7 +96,7 @@
   client.start();
   for (int i = 0; i < 5000 && updates.size() < 4; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(updates == std::vector<std::string>{"s1", "s2", "s3", "s4"});
-  CHECK(log.asked == std::vector<std::uint64_t>{0, 2});
+  CHECK(log.requested_since == std::vector<std::uint64_t>{0, 2});
   CHECK(counters.value(core::Counter::feed_malformed_or_gap) == 1);
 }
 
@@ -119,7 +119,7 @@
   core::Counters counters;
   StandInLog log(loop, pool);
   log.events = 0;
-  log.breaks_off = false;
+  log.truncates_replies = false;
   const std::string text = whole_list(kHosts);
   REQUIRE(text.size() > feed::kDefaultMaxEventBytes);
   log.replies = {text.substr(0, text.size() / 2), text};
@@ -130,7 +130,7 @@
   client.start();
   for (int i = 0; i < 5000 && updates.empty(); ++i) loop.turn(loop.now() + Millis(20), [] {});
   REQUIRE(updates.size() == 1);
-  CHECK(log.asked == std::vector<std::uint64_t>{0, 0});
+  CHECK(log.requested_since == std::vector<std::uint64_t>{0, 0});
   CHECK(updates[0].complete);
   REQUIRE(updates[0].members.size() == kHosts);
   CHECK(updates[0].members.back().entry.worker == "s-" + std::to_string(kHosts - 1));
@@ -164,7 +164,7 @@
     net::Loop::TimerId timer_{};
     std::size_t written_ = 0;
     void received(std::string_view) override {
-      ++log_.asked;
+      ++log_.requests;
       write_piece();
     }
     void write_piece() {
@@ -178,7 +178,7 @@
   TricklingLog(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
   std::string text;
   std::size_t piece = 1;
-  std::size_t asked = 0;
+  std::size_t requests = 0;
   Server<Peer, TricklingLog> server;
 };
 
@@ -191,7 +191,7 @@
   log.text = whole_list(5);
   log.piece = log.text.size() / 100 + 1;  // a second at least, five times the first wait
   feed::Timeouts timeouts;
-  timeouts.line_first = Millis(200);
+  timeouts.line_initial = Millis(200);
   std::vector<core::MemberList> updates;
   feed::MembershipClient client(
       loop, pool, counters, log.server.address(), feed::EventSequence(0),
@@ -202,8 +202,8 @@
   while (updates.empty() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
   REQUIRE(updates.size() == 1);
   CHECK(updates[0].members.size() == 5);
-  CHECK(log.asked >= 2);
-  CHECK(counters.value(core::Counter::feed_line_late) == log.asked - 1);
+  CHECK(log.requests >= 2);
+  CHECK(counters.value(core::Counter::feed_line_late) == log.requests - 1);
 }
 
 TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
@@ -266,7 +266,7 @@
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog log(loop, pool);
-  log.breaks_off = false;
+  log.truncates_replies = false;
   log.stays_open = true;
   UnreachableAtFirst calls;
   const net::ScopedSystemCalls scope(calls);
@@ -291,7 +291,7 @@
   const std::string dead = gone->server.address();
   gone.reset();
   for (StandInLog* log : {&first, &second}) {
-    log->breaks_off = false;
+    log->truncates_replies = false;
     log->stays_open = true;
     log->events = 3;
   }
@@ -318,7 +318,7 @@
   client.move(first.server.address());
   REQUIRE(turn_until([&] { return updates.size() == 20; }));
   CHECK(updates == all);
-  CHECK(first.asked == std::vector<std::uint64_t>{0, 5});
+  CHECK(first.requested_since == std::vector<std::uint64_t>{0, 5});
   CHECK(counters.value(core::Counter::feed_moves) == 6);
   CHECK(turn_until([&] { return second.server.peers.empty(); }));
 }
--- a/tests/invoker/list_lease_test.cpp
+++ b/tests/invoker/list_lease_test.cpp
@@ -16,11 +16,11 @@
 constexpr Millis kMaxWait{20000};
 
 // A client of a log that sends what the test says, and the leases that the client reports.
-struct LeaseSite {
-  LeaseSite() {
+struct LeaseFixture {
+  LeaseFixture() {
     log.events = 1;
     log.stays_open = true;
-    log.breaks_off = false;
+    log.truncates_replies = false;
     client.observe_lease([this](const ListLease& lease) { until = lease.until(); });
   }
   template <typename Until>
@@ -45,7 +45,7 @@
 TEST_CASE("the lease on the list ends by the platform's clocks") {
   ListLease lease(Millis(1000));
   CHECK(lease.until() == Millis(1000));  // nothing says how old the configuration's list is
-  lease.asked(Millis(1010));
+  lease.events_requested(Millis(1010));
   lease.event_received(Millis(1020));
   CHECK(lease.until() == Millis(1000));  // more events may be behind it
   lease.confirmed(Millis(1030));
@@ -54,9 +54,9 @@
   CHECK(lease.until() == Millis(5750));
 
   SECTION("a break") {
-    lease.connection_broke(Millis(2500));
+    lease.connection_lost(Millis(2500));
     CHECK(lease.until() == Millis(2500));
-    lease.connection_broke(Millis(4000));  // a later one changes nothing: the outage began before
+    lease.connection_lost(Millis(4000));  // a later one changes nothing: the outage began before
     CHECK(lease.until() == Millis(2500));
   }
   SECTION("a move") {
@@ -64,7 +64,7 @@
     CHECK(lease.until() == Millis(5550));
   }
   SECTION("a question, until it is answered to the end") {
-    lease.asked(Millis(2500));
+    lease.events_requested(Millis(2500));
     CHECK(lease.until() == Millis(2500));
     lease.event_received(Millis(2510));
     CHECK(lease.until() == Millis(2500));
@@ -78,48 +78,48 @@
 }
 
 TEST_CASE("the client's lease begins with a line that shows that nothing is missing") {
-  LeaseSite site;
-  site.client.start();
-  CHECK_FALSE(site.is_current());
-  REQUIRE(site.turn_until([&] { return site.is_current(); }));
-  CHECK(site.until <= site.loop.now() + ListLease::kAfterStop);
+  LeaseFixture fixture;
+  fixture.client.start();
+  CHECK_FALSE(fixture.is_current());
+  REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
+  CHECK(fixture.until <= fixture.loop.now() + ListLease::kStopAllowance);
 }
 
 TEST_CASE("a connection that breaks while the log refuses new ones ends the lease") {
-  LeaseSite site;
-  site.client.start();
-  REQUIRE(site.turn_until([&] { return site.is_current(); }));
-  const Millis current_until = site.until;
-  site.log.server.stop();
-  site.log.server.peers.front()->end_later();
-  REQUIRE(site.turn_until([&] { return site.until < current_until; }));
-  CHECK_FALSE(site.is_current());
+  LeaseFixture fixture;
+  fixture.client.start();
+  REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
+  const Millis current_until = fixture.until;
+  fixture.log.server.stop();
+  fixture.log.server.peers.front()->end_later();
+  REQUIRE(fixture.turn_until([&] { return fixture.until < current_until; }));
+  CHECK_FALSE(fixture.is_current());
 }
 
 TEST_CASE(
     "a log that is silent ends the lease as soon as it is asked again, and is believed once it answers") {
-  LeaseSite site;
-  site.client.start();
-  REQUIRE(site.turn_until([&] { return site.is_current(); }));
-  site.log.events = 2;
-  site.log.breaks_off = true;  // cut after a random part, mostly within the event
-  REQUIRE(site.turn_until([&] { return site.log.asked.size() >= 2; }));
-  CHECK_FALSE(site.is_current());
-  site.log.breaks_off = false;
-  REQUIRE(site.turn_until([&] { return site.is_current(); }));
+  LeaseFixture fixture;
+  fixture.client.start();
+  REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
+  fixture.log.events = 2;
+  fixture.log.truncates_replies = true;  // cut after a random part, mostly within the event
+  REQUIRE(fixture.turn_until([&] { return fixture.log.requested_since.size() >= 2; }));
+  CHECK_FALSE(fixture.is_current());
+  fixture.log.truncates_replies = false;
+  REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
 }
 
 TEST_CASE("a line that the process was late to read renews the lease only from before its stall") {
-  LeaseSite site;
-  site.client.start();
-  REQUIRE(site.turn_until([&] { return site.is_current(); }));
-  site.log.server.peers.front()->write("1\n");
-  site.log.server.peers.front()->flush_now();
-  const Millis stalled_from = site.loop.now();
+  LeaseFixture fixture;
+  fixture.client.start();
+  REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
+  fixture.log.server.peers.front()->write("1\n");
+  fixture.log.server.peers.front()->flush_now();
+  const Millis stalled_from = fixture.loop.now();
   const Millis stalled_until = stalled_from + Millis(300);
-  while (site.loop.now() < stalled_until) {}
-  site.loop.turn(site.loop.now(), [] {});
-  CHECK(site.until <= stalled_from + ListLease::kAfterStop);
+  while (fixture.loop.now() < stalled_until) {}
+  fixture.loop.turn(fixture.loop.now(), [] {});
+  CHECK(fixture.until <= stalled_from + ListLease::kStopAllowance);
 }
 
 }  // namespace pathstack::test
--- a/tests/invoker/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -32,26 +32,26 @@
       for (auto& word : words) word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
     }
-    bool sound = false;
-    CHECK(parse_cut<resp::Parser, resp::Words>(random, bytes, sound) == sent);
-    CHECK(sound);
+    bool valid = false;
+    CHECK(parse_cut<resp::Parser, resp::Words>(random, bytes, valid) == sent);
+    CHECK(valid);
   }
 }
 
 TEST_CASE("what is no RESP array of allowed size spoils the stream") {
   Random random(2);
-  bool sound = true;
+  bool valid = true;
   for (const char* bad : {"*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n$16385\r\n", "*1\r\n$x\r\n",
                           "*1\r\n$1\r\nabc", "+OK\r\n", "*1\r$", "*1111111111111111", "*1\r\n$-1\r\n"}) {
-    parse_cut<resp::Parser, resp::Words>(random, bad, sound);
-    CHECK_FALSE(sound);
+    parse_cut<resp::Parser, resp::Words>(random, bad, valid);
+    CHECK_FALSE(valid);
   }
   // Only one word may be long: the bound holds before the memory is taken.
   const std::string long_word = "$16384\r\n" + std::string(16384, 'x') + "\r\n";
-  parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", sound);
-  CHECK_FALSE(sound);
-  parse_cut<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", sound);
-  CHECK(sound);
+  parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", valid);
+  CHECK_FALSE(valid);
+  parse_cut<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", valid);
+  CHECK(valid);
 }
 
 TEST_CASE("hosts' lines come out as they went in, however they are cut") {
@@ -66,21 +66,21 @@
           id + " data crowd=3" + (has_body ? ' ' + std::to_string(body.size()) + "\r\n" + body : "") + "\r\n";
       sent.push_back(id + "crowd=3" + (has_body ? body : "-"));
     }
-    bool sound = false;
-    for (const auto& r : parse_cut<hosts::LineParser, hosts::Reply>(random, bytes, sound)) {
+    bool valid = false;
+    for (const auto& r : parse_cut<hosts::LineParser, hosts::Reply>(random, bytes, valid)) {
       read.push_back(r.id + r.fields + r.body.value_or("-"));
     }
     CHECK(read == sent);
-    CHECK(sound);
+    CHECK(valid);
   }
-  bool sound = true;
+  bool valid = true;
   for (const char* bad :
        {"\r\n", "one\r\n", "a b c d e\r\n", "a b - 3\r\nabcd\r\n", "a b - x\r\n", "a b\n", "a  b\r\n"}) {
-    parse_cut<hosts::LineParser, hosts::Reply>(random, bad, sound);
-    CHECK_FALSE(sound);
+    parse_cut<hosts::LineParser, hosts::Reply>(random, bad, valid);
+    CHECK_FALSE(valid);
   }
-  parse_cut<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), sound);
-  CHECK_FALSE(sound);
+  parse_cut<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), valid);
+  CHECK_FALSE(valid);
 }
 
 TEST_CASE("AMQP frames, properties and tables come out as they went in, however they are cut") {
@@ -100,10 +100,10 @@
     bytes += amqp::encode_frame(amqp::FrameType::header, 1, header) +
              amqp::encode_frame(amqp::FrameType::body, 1, body);
     bytes += amqp::encode_frame(amqp::FrameType::heartbeat, 0, {});
-    bool sound = false;
-    const auto frames = parse_cut<amqp::FrameParser, amqp::Frame>(random, bytes, sound);
+    bool valid = false;
+    const auto frames = parse_cut<amqp::FrameParser, amqp::Frame>(random, bytes, valid);
     REQUIRE(frames.size() == 3);
-    CHECK((sound && frames[1].payload == body && frames[1].channel == 1));
+    CHECK((valid && frames[1].payload == body && frames[1].channel == 1));
     const auto read = amqp::decode_content_header(frames[0].payload);
     REQUIRE(read);
     CHECK(read->properties.message_id == p.message_id);
@@ -130,13 +130,13 @@
 
 TEST_CASE("garbage ends a stream or is passed over; it never ends the process") {
   Random random(5);
-  bool sound = false;
+  bool valid = false;
   for (int round = 0; round < 20 * kRounds; ++round) {
-    parse_cut<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), sound);
-    parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
+    parse_cut<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), valid);
+    parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), valid);
     parse_cut<amqp::FrameParser, amqp::Frame>(random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)),
-                                              sound);
-    parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
+                                              valid);
+    parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), valid);
     amqp::decode_content_header(std::string("\0\x3C\0\0", 4) +
                                 garbage(random, std::string("\0\1FAStx\xFF", 8)));
     const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -110,7 +110,7 @@
   explicit ProcessFixture(double deadline) {
     log.events = 1;
     log.stays_open = true;
-    log.breaks_off = false;
+    log.truncates_replies = false;
     config = {{"name", "n1"},
               {"listen", "127.0.0.1:0"},
               {"seed", "8c1f30d27a5be964"},
@@ -189,8 +189,8 @@
   fixture.config["known"]["seq"] = 2;
   fixture.config["known"]["results"].push_back({{"seq", 2}, {"fleet", {{"members", {{{"phase", "gone"}}}}}}});
   fixture.start();
-  REQUIRE(fixture.turn_until([&] { return !log.asked.empty(); }));
-  CHECK(log.asked.front() == 1);
+  REQUIRE(fixture.turn_until([&] { return !log.requested_since.empty(); }));
+  CHECK(log.requested_since.front() == 1);
 }
 
 TEST_CASE("a configuration with many hosts is read, and a host from it is used") {
--- a/tests/invoker/support/stand_in_log.h
+++ b/tests/invoker/support/stand_in_log.h
@@ -29,18 +29,19 @@
       REQUIRE(splitter_.take(bytes, lines));
       for (const auto& line : lines) {
         REQUIRE(line.compare(0, 6, "since ") == 0);
-        log_.asked.push_back(std::stoull(line.substr(6)));
+        log_.requested_since.push_back(std::stoull(line.substr(6)));
         std::string text;
-        if (log_.asked.size() <= log_.replies.size()) text = log_.replies[log_.asked.size() - 1];
-        for (std::size_t i = log_.asked.back(); i < log_.events; ++i) {
+        if (log_.requested_since.size() <= log_.replies.size())
+          text = log_.replies[log_.requested_since.size() - 1];
+        for (std::size_t i = log_.requested_since.back(); i < log_.events; ++i) {
           const std::string number = std::to_string(i + 1);
-          const bool spoilt = log_.spoilt_once == i + 1 && log_.asked.size() == 1;
+          const bool malformed = log_.malformed_once == i + 1 && log_.requested_since.size() == 1;
           text += R"({"seq":)" + number + R"(,"fleet":{"complete":false,"members":[{")" +
-                  (spoilt ? "i" : "id") + R"(":"s)" + number +
+                  (malformed ? "i" : "id") + R"(":"s)" + number +
                   R"(","host_port":"127.0.0.1:9","phase":"ready"}]}})" + "\n";
         }
         text += std::to_string(log_.events) + "\n";
-        write(text.substr(0, log_.breaks_off ? below(log_.random, text.size() + 1) : text.size()));
+        write(text.substr(0, log_.truncates_replies ? below(log_.random, text.size() + 1) : text.size()));
         flush_now();
         if (!log_.stays_open) end_later();
       }
@@ -51,9 +52,9 @@
   Random random{6};
   Server<Peer, StandInLog> server;
   std::size_t events = 20;
-  std::vector<std::uint64_t> asked;
-  std::size_t spoilt_once = 0;  // the number of an event whose row has no id, the first time
-  bool stays_open = false, breaks_off = true;
+  std::vector<std::uint64_t> requested_since;
+  std::size_t malformed_once = 0;  // the number of an event whose row has no id, the first time
+  bool stays_open = false, truncates_replies = true;
   std::vector<std::string> replies;  // to each `since` in turn, in front of the events
 };
 
