--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,17 +14,18 @@
 namespace pathstack::config {
 namespace {
 
-constexpr std::size_t kMaxQueueNameBytes = 255;  // AMQP 0-9-1, 4.2.5.3: a short string
+constexpr std::size_t kMaxQueueNameBytes = 255;  // AMQP 0-9-1, 4.2.5.3: length of a short string
 constexpr Millis kDefaultConnectTimeout{250};
 constexpr Millis kDefaultOrderTimeout{10000};
 
 std::vector<std::string> read_queues(const json& queues) {
-  if (!queues.is_array() || queues.empty()) throw_config_error("amqp.queues", "at least one name is needed");
+  if (!queues.is_array() || queues.empty())
+    throw_config_error("amqp.queues", "must be a non-empty array of queue names");
   std::vector<std::string> names;
   for (const auto& queue : queues) {
     const std::string name = text(queue);
     if (name.empty() || name.size() > kMaxQueueNameBytes) {
-      throw_config_error("amqp.queues", "a name has 1 to 255 bytes");
+      throw_config_error("amqp.queues", "each name must have 1 to 255 bytes");
     }
     names.push_back(name);
   }
@@ -32,11 +33,11 @@
 }
 
 AmqpConfig read_amqp(const json& from) {
-  if (!from.is_object()) throw_config_error("amqp", "an object is needed");
+  if (!from.is_object()) throw_config_error("amqp", "must be an object");
   AmqpConfig out;
   out.broker = string_value(from, "broker", "amqp.broker", nullptr);
   if (!net::valid_address(out.broker)) {
-    throw_config_error("amqp.broker", "no numeric address with a port: '" + out.broker + "'");
+    throw_config_error("amqp.broker", "not a numeric address with a port: '" + out.broker + "'");
   }
   out.user = string_value(from, "user", "amqp.user", "guest");
   out.password = string_value(from, "password", "amqp.password", "guest");
@@ -52,7 +53,7 @@
 }
 
 XdsConfig read_xds(const json& from) {
-  if (!from.is_object()) throw_config_error("xds", "an object is needed");
+  if (!from.is_object()) throw_config_error("xds", "must be an object");
   XdsConfig out;
   out.file = string_value(from, "file", "xds.file", nullptr);
   out.cluster = string_value(from, "cluster", "xds.cluster", nullptr);
@@ -67,16 +68,16 @@
 
 std::uint64_t read_seed(const json& file) {
   const json& value = key(file, "seed");
-  const bool is_operators_file = !key(file, "amqp").is_null();  // which need not make a seed up
-  if (value.is_null() && is_operators_file) return random_seed();
+  const bool is_operator_file = !key(file, "amqp").is_null();  // an operator need not choose a seed
+  if (value.is_null() && is_operator_file) return random_seed();
   if (value.is_number_unsigned()) return value.get<std::uint64_t>();
   const auto seed = value.is_string() ? net::parse_hex16(value.get<std::string>()) : std::nullopt;
-  if (!seed) throw_config_error("seed", "16 hex digits are needed");
+  if (!seed) throw_config_error("seed", "must be 16 hex digits");
   return *seed;
 }
 
 void read_limits(const json& limits, Config& out) {
-  if (!limits.is_null() && !limits.is_object()) throw_config_error("limits", "an object is needed");
+  if (!limits.is_null() && !limits.is_object()) throw_config_error("limits", "must be an object");
   out.memory_mb = integer_within(limits, "memory_mb", "limits.memory_mb", out.memory_mb, 32, 1e6);
   out.sockets = integer_within(limits, "sockets", "limits.sockets", out.sockets, 64, 1e6);
 }
@@ -84,9 +85,10 @@
 void read_known(const json& known, std::vector<MembershipEvent>&& events, Config& out) {
   if (known.is_null()) return;
   const json& seq = key(known, "seq");
-  const json& unread = key(known, "results");  // the parser has taken out all events that are objects
-  if (!seq.is_number_unsigned()) throw_config_error("known.seq", "a whole number is needed");
-  if (!unread.is_array()) throw_config_error("known.results", "an array is needed");
+  // MembershipEventReader has removed each event that is an object; what remains cannot be read.
+  const json& unread = key(known, "results");
+  if (!seq.is_number_unsigned()) throw_config_error("known.seq", "must be a non-negative integer");
+  if (!unread.is_array()) throw_config_error("known.results", "must be an array");
   out.known_seq = uint64(seq);
   out.known_events = std::move(events);
   if (unread.empty()) return;
@@ -105,7 +107,7 @@
   out.attempts_per_connection = integer_within(bounds, "StreamsPerConn", "settings.Bounds.StreamsPerConn",
                                                out.attempts_per_connection, 1, 1e6);
   out.settings = read_settings(settings, out.seed);
-  // An invoker has no way to send messages to others: probes on behalf of them would be wasted.
+  // Invokers have no channel between them, so probes made to inform other invokers would be wasted.
   out.settings.peer_messages = false;
   if (!(out.settings.connect_timeout.count() > 0)) out.settings.connect_timeout = kDefaultConnectTimeout;
   if (!(out.settings.order_timeout.count() > 0)) out.settings.order_timeout = kDefaultOrderTimeout;
@@ -126,9 +128,9 @@
   };
   try {
     auto document = json::parse(in, callback, false);
-    if (!document.is_object()) throw_config_error(path, "holds no JSON object");
+    if (!document.is_object()) throw_config_error(path, "not a JSON object");
     return {std::move(document), events.take_events()};
-  } catch (const std::ios_base::failure&) {  // a read that fails, whatever the stream's state is to report
+  } catch (const std::ios_base::failure&) {  // thrown by a failed read, even with stream exceptions off
     throw_config_error(path, "cannot be read");
   }
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The invoker's configuration: read, checked and given its defaults here and nowhere else.
+/// Configuration of the invoker. This is the only place that reads it, checks it and sets its defaults.
 #pragma once
 
 #include <cstdint>
@@ -15,45 +15,45 @@
 
 namespace pathstack::config {
 
-/// AMQP triggers, off unless the file has a part `amqp`.
+/// Settings of the AMQP triggers, which are off unless the file has an object `amqp`.
 struct AmqpConfig {
-  std::string broker;  // a numeric address with a port
+  std::string broker;  // numeric address with a port
   std::string user = "guest", password = "guest", vhost = "/";
   std::vector<std::string> queues;
-  std::uint16_t prefetch = 32;     // messages in flight
-  std::uint16_t heartbeat_s = 10;  // seconds; 0: none
-  std::size_t body_kb = 16;        // KiB, of one message
-  std::size_t open_calls = 256;
-  std::size_t remembered = 10000;  // answers kept for repeated messages
-  std::size_t remembered_mb = 16;  // MiB, of these answers
+  std::uint16_t prefetch = 32;     // most unacknowledged messages
+  std::uint16_t heartbeat_s = 10;  // seconds; 0 disables heartbeats
+  std::size_t body_kb = 16;        // KiB; largest message body
+  std::size_t open_calls = 256;    // most calls in progress
+  std::size_t remembered = 10000;  // most answers kept for repeated messages
+  std::size_t remembered_mb = 16;  // MiB; memory limit of the kept answers
 };
 
-/// Envoy's list of hosts, in place of the membership log.
+/// File with Envoy's endpoint list, which replaces the membership log.
 struct XdsConfig {
   std::string file, cluster;
-  Millis reread{500};  // between looks at the file
+  Millis reread{500};  // interval between checks of the file for changes
 };
 
-/// All that an invoker is configured with.
+/// Complete configuration of an invoker.
 struct Config {
   std::string name;
-  std::string listen;     // empty where only triggers bring calls
-  std::string changelog;  // the address of the membership log; empty with an xDS file
+  std::string listen;     // address for clients; empty if calls arrive by triggers only
+  std::string changelog;  // address of the membership log; empty with an xDS file
   std::optional<AmqpConfig> amqp;
   std::optional<XdsConfig> xds;
-  std::uint64_t seed = 0;       // of the decision module and of jitter
-  std::size_t memory_mb = 192;  // MiB, the memory limit of the process
-  std::size_t sockets = 1024;   // the limit on its descriptors
-  std::uint64_t known_seq = 0;  // the last event of the membership log that `known_events` make up for
+  std::uint64_t seed = 0;       // of the decision module and of backoff jitter
+  std::size_t memory_mb = 192;  // MiB; memory limit of the process
+  std::size_t sockets = 1024;   // limit on open file descriptors
+  std::uint64_t known_seq = 0;  // number of the last membership event that `known_events` covers
   std::vector<MembershipEvent> known_events;
   pathstack::policy::Settings settings;
-  Millis connection_idle{15000};             // after which an unused connection to a host is closed
-  std::size_t attempts_per_connection = 32;  // in flight on one connection to a host
+  Millis connection_idle{15000};             // idle time after which a host connection is closed
+  std::size_t attempts_per_connection = 32;  // most attempts in flight on one host connection
   std::vector<std::string> report_fields;
 };
 
-/// A configuration file as it was parsed. The events of `known` stand apart, as a fleet's list of hosts is
-/// many times as large in a document.
+/// A parsed configuration file. The events of `known` are kept apart from the document, as the host list of a
+/// fleet takes many times as much memory in a JSON document.
 struct ConfigFile {
   ConfigFile(nlohmann::json parsed, std::vector<MembershipEvent> events = {})
       : document(std::move(parsed)), known_events(std::move(events)) {}
@@ -61,11 +61,12 @@
   std::vector<MembershipEvent> known_events;
 };
 
-/// `listen` and `name` come from the environment where the file has none. Throws ConfigError for the first
-/// fault found.
+/// Checks the file and applies the defaults. `name` and `listen`, which come from the environment, are used
+/// where the file has none. Throws ConfigError for the first invalid value.
 Config read_config(ConfigFile config_file, const std::string& name, const std::string& listen);
 
-/// Memory: that of the hosts that the file names, and of one row of them. Throws ConfigError.
+/// Parses the file. Throws ConfigError if the file cannot be read or is not a JSON object. Peak memory: the
+/// hosts that the file lists, plus one host row as JSON.
 ConfigFile read_config_file(const std::string& path);
 
 }  // namespace pathstack::config
--- a/src/config/file_read.h
+++ b/src/config/file_read.h
@@ -1,4 +1,4 @@
-// Reads a file that another process may be writing or replacing at the same time.
+/// Reads a file that another process may be writing or replacing at the same time.
 #pragma once
 
 #include <optional>
@@ -6,8 +6,8 @@
 
 namespace pathstack::config {
 
-/// The bytes of the file from its beginning to its end. Nothing if it cannot be opened, or if a read fails
-/// before the end: the bytes read until then are no file. A read that a signal interrupts goes on. Cost:
+/// Returns the content of the file, or nothing if the file cannot be opened or a read fails before the end: a
+/// part of the content must not be taken for all of it. Reads that a signal interrupts are repeated. Cost:
 /// linear in the size of the file.
 std::optional<std::string> read_file(const std::string& path);
 
--- a/src/config/membership_events.cpp
+++ b/src/config/membership_events.cpp
@@ -12,17 +12,18 @@
 using ParseEvent = nlohmann::json::parse_event_t;
 
 constexpr std::size_t kMaxRowBytes = std::size_t{64} * 1024;
-constexpr std::size_t kValueBytes = 4;  // counted for a value apart from its text
-constexpr std::size_t kFleetDepth = 1, kMembersDepth = 2, kRowDepth = 3;  // below that of the event
+constexpr std::size_t kValueBytes = 4;  // estimate for a JSON value without its string
+// Nesting depths relative to the event.
+constexpr std::size_t kFleetDepth = 1, kMembersDepth = 2, kRowDepth = 3;
 
 WorkerState state_of(const std::string& phase) {
   if (phase == "ready") return WorkerState::ready;
   if (phase == "gone") return WorkerState::gone;
-  return WorkerState::draining;  // unknown: nothing new may go there
+  return WorkerState::draining;  // also for an unknown phase: the host gets no new calls
 }
 
-// The size of a row as a bound on the memory that it takes: bytes of names and texts, and a few for each
-// value.
+// Estimates the size of a row, to bound the memory that it takes: the bytes of names and strings, plus
+// kValueBytes for each value.
 std::size_t estimated_bytes(const json& value) {
   if (value.is_string()) return kValueBytes + value.get_ref<const std::string&>().size();
   std::size_t sum = kValueBytes;
@@ -80,7 +81,7 @@
 
 void MembershipEventReader::add_member(const json& row) {
   auto member = read_member(row);
-  // To skip one row would lose its host for good, so the whole event is malformed and is asked for again.
+  // Skipping the row would lose its host for good, so the whole event is malformed and is requested again.
   const bool usable = !member.entry.worker.empty() && !text(key(row, "phase")).empty();
   if (!usable || estimated_bytes(row) > kMaxRowBytes) {
     current_.malformed = true;
@@ -97,7 +98,7 @@
   read.has_members = event.contains("fleet");
   read.list.complete = boolean(key(fleet, "complete"));
   const json& rest = key(fleet, "members");
-  // What is left of the list are rows that are no objects.
+  // add_member has removed the rows that are objects; any row that remains cannot be read.
   if (read.has_members && (!rest.is_array() || !rest.empty())) read.malformed = true;
   events_.push_back(std::move(read));
 }
--- a/src/config/membership_events.h
+++ b/src/config/membership_events.h
@@ -1,4 +1,4 @@
-// Events of the membership log, read row by row.
+/// Parser of membership log events, which converts one host row at a time to save memory.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,34 @@
 
 namespace pathstack::config {
 
-/// One event as it was written; nothing is checked against the events before it.
+/// One parsed event. Its order relative to other events is not checked here.
 struct MembershipEvent {
-  std::optional<std::uint64_t> seq;  // none: it has no number
-  bool has_members = false;          // false: another kind of event
-  bool is_last_seq = false;          // it has nothing but its number: that of the last event
-  bool malformed = false;            // a part of it cannot be read
+  std::optional<std::uint64_t> seq;  // empty: the event has no number
+  bool has_members = false;          // false: an event of another kind, without a host list
+  bool is_last_seq = false;          // only a number, that of the last event in the log
+  bool malformed = false;            // a part of the event cannot be read
   core::MemberList list;
 };
 
-/// Collects events while a JSON document is parsed, for use as the library's parser callback. Each row
-/// becomes a `core::Member` and leaves the document as soon as it is whole, and each event likewise, so that
-/// the memory taken is that of the members and of one row. A row over 64 KiB makes its event malformed.
+/// Callback for the JSON parser that collects events while the document is parsed. Each complete row is
+/// converted to a `core::Member` and dropped from the document, and so is each complete event, so that memory
+/// is bounded by the members and one row. A row over 64 KiB makes its event malformed.
 class MembershipEventReader {
  public:
-  /// `path` names the keys from the document's root to the list of events; empty: the document is one event.
+  /// `path`: the keys from the root of the document to the array of events. Empty if the document is one
+  /// event.
   explicit MembershipEventReader(std::vector<std::string> path) : path_(std::move(path)) {}
 
-  /// The callback: false for what leaves the document. Cost: linear in the size of a row.
+  /// The parser callback. Returns false for a value that is to be dropped from the document. Cost: linear in
+  /// the size of a row.
   bool operator()(int depth, nlohmann::json::parse_event_t event, nlohmann::json& parsed);
 
-  /// The events of the document so far, in order.
+  /// Moves out the events collected so far, in document order.
   std::vector<MembershipEvent> take_events() { return std::move(events_); }
 
  private:
   std::vector<std::string> path_;
-  std::vector<std::string> keys_;  // the last key at each depth
+  std::vector<std::string> keys_;  // last key read at each depth
   MembershipEvent current_;
   std::vector<MembershipEvent> events_;
 
@@ -48,14 +50,14 @@
   void add_event(const nlohmann::json& event);
 };
 
-/// One line of the membership log. `last_seq` holds a line that tells the number of the last event alone, as
-/// a number or as an object with nothing else.
+/// One line of the membership log. `last_seq` is set for a line that holds only the number of the last event,
+/// either bare or as the only key of an object. Neither member is set if the line cannot be read.
 struct MembershipLine {
   std::optional<std::uint64_t> last_seq;
-  std::optional<MembershipEvent> event;  // neither: the line cannot be read
+  std::optional<MembershipEvent> event;
 };
 
-/// Cost: linear in the line.
+/// Parses one line. Cost: linear in its length.
 MembershipLine read_membership_line(const std::string& line);
 
 }  // namespace pathstack::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings of the decision module, by the names of the platform's wire page.
+/// Reader of the decision module's settings, whose keys the platform's wire specification names.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace pathstack::config {
 
-/// Reads the settings leniently, for the simulator's adapter and for the invoker alike: what is absent or of
-/// another type has its default. The invoker checks them beforehand, see config/settings_check.h.
+/// Reads the settings leniently: a value that is absent or of another type gets its default. Used by the
+/// simulator adapter and by the invoker, which validates the settings first (config/settings_check.h).
 pathstack::policy::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
 
 }  // namespace pathstack::config
--- a/src/config/settings_check.cpp
+++ b/src/config/settings_check.cpp
@@ -43,7 +43,7 @@
   for (const char* name : {"Bounds", "Rules", "FamilyInfo", "LoadInfo", "Prices"}) {
     const json& part = key(settings, name);
     const bool is_part = part.is_null() || part.is_object();
-    if (!is_part) throw_config_error(kSettings + '.' + name, "an object is needed");
+    if (!is_part) throw_config_error(kSettings + '.' + name, "must be an object");
   }
   for (const char* name : {"Classes", "Tenants"}) check_object_array(settings, name, kSettings);
   check_numbers(settings, kSettings, {"Balancers", "Rank", "Tick", "OverShareWorth"});
@@ -64,16 +64,16 @@
 void check_classes(const json& settings, const pathstack::policy::Settings& read) {
   const auto& classes = key(settings, "Classes");
   if (!classes.is_array() || classes.empty()) {
-    throw_config_error("settings.Classes", "at least one class is needed");
+    throw_config_error("settings.Classes", "must be a non-empty array of classes");
   }
   for (const auto& call_class : read.classes) {
     const std::string& name = call_class.name;
     if (name.empty() || name.find_first_of(" ,=\r\n") != std::string::npos) {
       throw_config_error("settings.Classes[].Name",
-                         "a word without blanks, commas and equals signs is needed");
+                         "must be a non-empty string without spaces, commas, equals signs and line breaks");
     }
     if (!(call_class.deadline.count() > 0)) {
-      throw_config_error("settings.Classes[" + name + "].HardLimit", "must be above 0");
+      throw_config_error("settings.Classes[" + name + "].HardLimit", "must be greater than 0");
     }
   }
 }
--- a/src/config/settings_check.h
+++ b/src/config/settings_check.h
@@ -1,4 +1,4 @@
-// What the decision module's settings must be for an invoker to start with them.
+/// Validation of the decision module's settings at the start of an invoker.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,11 +7,12 @@
 
 namespace pathstack::config {
 
-/// Checks that every key of `settings` that is known here is absent or of its kind. Unknown keys are ignored:
-/// the platform may add some. Throws ConfigError. Cost: linear in the classes and tenants.
+/// Checks that each known key of `settings` is absent or has a value of the right type. Unknown keys are
+/// ignored, as the platform may add some. Throws ConfigError. Cost: linear in the classes and tenants.
 void check_setting_types(const nlohmann::json& settings);
 
-/// Checks that there are classes that calls can name, each with a deadline. Throws ConfigError.
+/// Checks that there is at least one class, and that each class has a deadline and a name that calls can
+/// carry. Throws ConfigError.
 void check_classes(const nlohmann::json& settings, const pathstack::policy::Settings& read);
 
 }  // namespace pathstack::config
--- a/src/config/value_checks.cpp
+++ b/src/config/value_checks.cpp
@@ -8,13 +8,13 @@
 namespace pathstack::config {
 namespace {
 
-constexpr double kMaxNumber = 1e15;  // milliseconds and counts beyond it lose whole units in a double
+constexpr double kMaxNumber = 1e15;  // below 2^53, above which a double skips whole units
 
 }  // namespace
 
 const json& required_object(const json& from, const char* name) {
   const json& value = key(from, name);
-  if (!value.is_object()) throw_config_error(name, "an object is needed");
+  if (!value.is_object()) throw_config_error(name, "must be an object");
   return value;
 }
 
@@ -22,21 +22,21 @@
                      double max) {
   const json& value = key(from, name);
   if (value.is_null()) return fallback;
-  if (!value.is_number()) throw_config_error(path, "a number is needed");
-  const double read = number(value, min - 1);  // a number that isn't finite is out of range
+  if (!value.is_number()) throw_config_error(path, "must be a number");
+  const double read = number(value, min - 1);  // a number that is not finite becomes out of range
   const bool is_within = read >= min && read <= max;
   if (!is_within) {
-    throw_config_error(path, "must lie between " + json(min).dump() + " and " + json(max).dump());
+    throw_config_error(path, "must be between " + json(min).dump() + " and " + json(max).dump());
   }
   return read;
 }
 
 std::string address_value(const json& from, const char* name, const std::string& fallback) {
   const json& value = key(from, name);
-  if (!value.is_null() && !value.is_string()) throw_config_error(name, "a text is needed");
+  if (!value.is_null() && !value.is_string()) throw_config_error(name, "must be a string");
   std::string address = value.is_string() ? value.get<std::string>() : fallback;
   if (!net::valid_address(address)) {
-    throw_config_error(name, "no numeric address with a port: '" + address + "'");
+    throw_config_error(name, "not a numeric address with a port: '" + address + "'");
   }
   return address;
 }
@@ -45,7 +45,7 @@
   const json& value = key(from, name);
   if (value.is_null() && fallback != nullptr) return fallback;
   const bool is_text = value.is_string() && !value.get_ref<const std::string&>().empty();
-  if (!is_text) throw_config_error(path, "a text is needed");
+  if (!is_text) throw_config_error(path, "must be a non-empty string");
   return value.get<std::string>();
 }
 
@@ -57,7 +57,7 @@
   for (const char* name : names) {
     const json& value = key(part, name);
     const bool is_flag = value.is_null() || value.is_boolean();
-    if (!is_flag) throw_config_error(path + '.' + name, "true or false is needed");
+    if (!is_flag) throw_config_error(path + '.' + name, "must be true or false");
   }
 }
 
@@ -68,7 +68,7 @@
   const std::string read = text(value);
   const auto is_read = [&read](const char* word) { return read == word; };
   const bool is_known = value.is_string() && std::any_of(words.begin(), words.end(), is_read);
-  if (!is_known) throw_config_error(path + '.' + name, "no word that is known here: " + value.dump());
+  if (!is_known) throw_config_error(path + '.' + name, "unknown value: " + value.dump());
 }
 
 void check_object_array(const json& part, const char* name, const std::string& path) {
@@ -76,7 +76,7 @@
   if (rows.is_null()) return;
   const auto is_object = [](const json& row) { return row.is_object(); };
   const bool are_objects = rows.is_array() && std::all_of(rows.begin(), rows.end(), is_object);
-  if (!are_objects) throw_config_error(path + '.' + name, "an array of objects is needed");
+  if (!are_objects) throw_config_error(path + '.' + name, "must be an array of objects");
 }
 
 }  // namespace pathstack::config
--- a/src/feed/backoff.h
+++ b/src/feed/backoff.h
@@ -1,4 +1,4 @@
-// Pauses between connections.
+/// Backoff between connection attempts.
 #pragma once
 
 #include <algorithm>
@@ -9,28 +9,28 @@
 
 namespace pathstack::feed {
 
-/// Exponential backoff with equal jitter: half of each pause is fixed, half is random, so that the invokers
-/// that lost one log together don't come back together. The same seed gives the same pauses.
+/// Exponential backoff with equal jitter: half of each delay is fixed and half is random, so that invokers
+/// that lost the same log at once do not reconnect at once. Equal seeds give equal delays.
 class Backoff {
  public:
   Backoff(core::Millis initial, core::Millis max, std::uint64_t seed)
       : initial_(initial), max_(max), ceiling_(initial), random_(seed) {}
 
-  /// The next pause: between half and all of a ceiling that doubles from `initial` up to `max`.
+  /// Returns the next delay, between half and all of a ceiling that doubles from `initial` up to `max`.
   core::Millis next() {
     const core::Millis half = ceiling_ / 2;
     ceiling_ = std::min(ceiling_ * 2, max_);
     return half + half * fraction();
   }
 
-  /// The next ceiling is `initial` again.
+  /// Sets the ceiling back to `initial`.
   void reset() { ceiling_ = initial_; }
 
  private:
   core::Millis initial_, max_, ceiling_;
   std::mt19937_64 random_;
 
-  // At least 0, below 1. Written out, as the standard's distributions differ between libraries.
+  // Returns a number in [0, 1). Not a standard distribution, as those differ between standard libraries.
   double fraction() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
 };
 
--- a/src/feed/membership_client.cpp
+++ b/src/feed/membership_client.cpp
@@ -43,7 +43,7 @@
                                                   staleness_, timeouts_.connect, max_event_bytes_);
 }
 
-// The new address is asked at once, without a pause: its events count as received soon after the move.
+// Connects without a delay: the platform counts events of the new log as delivered soon after the move.
 void MembershipClient::move(const std::string& address) {
   if (address == address_) return;
   counters_.add(core::Counter::feed_moves);
@@ -81,7 +81,7 @@
     report_lease();
     return false;
   }
-  // A line that this process was late to read may be as old as the poll before the one that reported it.
+  // If this process stalled, the line may have arrived as early as the poll before the one that reported it.
   if (result == Result::up_to_date) lease_.confirmed(loop_.previous_poll());
   if (result != Result::up_to_date) lease_.event_received(loop_.previous_poll());
   backoff_.reset();
@@ -127,7 +127,7 @@
   event_log_->write("membership.asked", {{"address", address_}, {"since", std::to_string(last)}});
 }
 
-// Counts of the states named, and the ids as far as they are few.
+// Logs the number of hosts in each state, and their ids if there are at most kMaxLoggedIds.
 void MembershipClient::log_event(const core::MemberList& list) const {
   if (event_log_ == nullptr) return;
   std::size_t ready = 0, draining = 0, gone = 0;
--- a/src/feed/membership_client.h
+++ b/src/feed/membership_client.h
@@ -1,4 +1,4 @@
-// The client of the membership log, which the platform calls the change log.
+/// Client of the membership log, which the platform calls the change log.
 #pragma once
 
 #include <cstddef>
@@ -21,20 +21,20 @@
 
 namespace pathstack::feed {
 
-/// Watches the list of hosts: reports every event after the last one known, once and in order, over
-/// connections that are made again with backoff as often as they break or go stale.
+/// Reports each host list event after the last known one, once and in order. Reconnects with backoff whenever
+/// the connection is lost or stale.
 ///
-/// Runs on the loop's thread; destroyed before the loop.
+/// Runs on the thread of the loop; must be destroyed before the loop.
 class MembershipClient final : private WatchOwner {
  public:
-  /// Receives the hosts of one event: all of them if `complete`, else those that have changed.
+  /// Receives the host list of one event: all hosts if `complete`, otherwise the changed ones.
   using OnUpdate = std::function<void(const core::MemberList&)>;
 
-  /// Receives how long the list may be relied on, each time that it may have changed.
+  /// Receives the lease on the host list each time that the lease may have changed.
   using OnLease = std::function<void(const ListLease&)>;
 
-  /// `known`: the events that are known already. A line of more than `max_event_bytes` ends the connection; a
-  /// complete list of hosts is one line. `seed` is that of the backoff's jitter.
+  /// `known`: the state of the sequence after the events that are already known. A line of more than
+  /// `max_event_bytes` ends the connection; a complete host list is one line. `seed`: of the backoff jitter.
   MembershipClient(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
                    EventSequence known, OnUpdate on_update,
                    std::size_t max_event_bytes = kDefaultMaxEventBytes, std::uint64_t seed = 0,
@@ -43,17 +43,18 @@
   MembershipClient(const MembershipClient&) = delete;
   MembershipClient& operator=(const MembershipClient&) = delete;
 
-  /// Connections, their ends and events are told of in `log`, which must outlive this object.
+  /// Writes requests, ended connections, moves and events to `log`, which must outlive this object.
   void log_to(core::EventLog& log) { event_log_ = &log; }
 
+  /// Sets the function that receives the lease; to be called before `start`.
   void observe_lease(OnLease on_lease) { on_lease_ = std::move(on_lease); }
 
-  /// Begins the first connection.
+  /// Reports the initial lease and starts the first connection.
   void start();
 
-  /// The log goes on at another address, under the same sequence numbers. The old connection is left at once:
-  /// the old address reports nothing more but may stay open for a while, and look healthy. No effect if the
-  /// address is the one in use.
+  /// Switches to another address of the log, which continues the same sequence numbers. Closes the old
+  /// connection at once: the old log reports nothing more, but may keep the connection open for a while and
+  /// look healthy. No effect if the address is already in use.
   void move(const std::string& address);
 
  private:
--- a/src/feed/watch_connection.h
+++ b/src/feed/watch_connection.h
@@ -1,4 +1,4 @@
-// One connection to the membership log.
+/// One connection to the membership log.
 #pragma once
 
 #include <cstdint>
@@ -15,39 +15,43 @@
 
 class WatchConnection;
 
-/// What a connection needs of the client that has made it, and reports to it. Called on the loop's thread,
-/// never from within the connection's constructor.
+/// Interface between a connection and the client that owns it. Called on the thread of the loop, never from
+/// the constructor of the connection.
 class WatchOwner {
  public:
   virtual ~WatchOwner() = default;
 
-  /// False once the client has gone on to another connection: this one reads nothing more.
+  /// Returns false once the client uses another connection; `connection` then ignores further input.
   virtual bool is_current(const WatchConnection& connection) const = 0;
 
-  /// The question for all events after `last` leaves now.
+  /// The request for all events after `last` is being sent.
   virtual void on_events_requested(std::uint64_t last) = 0;
 
-  /// The sequence number after which the log is to go on.
+  /// Returns the sequence number after which the log is to continue.
   virtual std::uint64_t last_sequence() const = 0;
 
-  /// A line has arrived. False if it cannot be understood, or shows that one before it is missing: the
-  /// connection then ends.
+  /// Processes a received line. Returns false if the line cannot be read, or if an event before it is
+  /// missing; the connection then ends.
   virtual bool on_line(const std::string& line) = 0;
 
+  /// No byte was received within `StalenessTimeout::silence`.
   virtual void on_silence_timeout(const WatchConnection& connection) = 0;
+  /// No complete line was received within `StalenessTimeout::line`.
   virtual void on_line_timeout(const WatchConnection& connection) = 0;
 
-  /// The connection has ended, for whatever reason.
+  /// The connection has ended, for any reason.
   virtual void on_ended(const WatchConnection& connection) = 0;
 };
 
-/// Asks the log for all events after the last one known, passes lines on, and ends itself once the log is
-/// stale: a log that stops half-way through an event, or sends one endless line, is open but useless.
+/// Requests all events after the last known one, passes lines to the owner, and ends itself when the log is
+/// stale. A log that stops within an event, or sends an endless line, keeps its connection open but is of no
+/// use.
 ///
-/// Owned by a `MembershipClient`, which outlives it to the end of the turn in which it ends.
+/// Owned by a `MembershipClient`, which must outlive the connection until the end of the turn in which the
+/// connection ends.
 class WatchConnection final : public net::Stream {
  public:
-  /// `socket`: of a connection that was begun. `staleness` is read anew for each timer.
+  /// `socket`: its connect was started. `staleness` is read each time that a timer starts.
   WatchConnection(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, net::Socket socket,
                   WatchOwner& owner, const StalenessTimeout& staleness, core::Millis connect_timeout,
                   std::size_t max_line_bytes);
@@ -55,7 +59,7 @@
   WatchConnection(const WatchConnection&) = delete;
   WatchConnection& operator=(const WatchConnection&) = delete;
 
-  /// Why it ended, for the log.
+  /// Returns the reason for the end of the connection, for the event log.
   std::string_view end_reason() const;
 
  private:
@@ -63,9 +67,9 @@
   WatchOwner& owner_;
   const StalenessTimeout& staleness_;
   LineSplitter splitter_;
-  net::Loop::TimerId silence_timer_;  // until the connection is made: its connect timeout
+  net::Loop::TimerId silence_timer_;  // until the connection is established: connect timeout
   net::Loop::TimerId line_timer_;
-  std::string_view own_end_reason_;  // empty: it did not end itself
+  std::string_view own_end_reason_;  // empty if the connection did not end itself
 
   void connected() override;
   void received(std::string_view bytes) override;
--- a/src/xds/assignment.cpp
+++ b/src/xds/assignment.cpp
@@ -20,20 +20,20 @@
 constexpr std::size_t kMaxQuotedBytes = 200;
 constexpr std::string_view kAssignmentType = "ClusterLoadAssignment";
 
-// The name under which the metadata of an endpoint hold what is meant for this program. The files of
-// operators have it, so it stays as it is, whatever the program is called.
+// The key of this program in the filter metadata of an endpoint. Files of operators contain the key, so it
+// must not change, whatever the program is called.
 constexpr const char* kMetadataName = "lotusyard";
 
-// envoy.config.core.v3.HealthStatus; those of its values under which a host takes calls.
+// The values of envoy.config.core.v3.HealthStatus with which a host takes new calls.
 enum class HealthStatus { unknown = 0, healthy = 1, degraded = 5 };
 
-// The JSON form of a protobuf message may name its fields in either way.
+// Returns a field of a protobuf message, whose JSON form may use either name.
 const json& snake_or_camel(const json& object, const char* snake_case, const char* camel_case) {
   const json& found = key(object, snake_case);
   return found.is_null() ? key(object, camel_case) : found;
 }
 
-// Something else in place of a list would read as an empty one, and all hosts would be gone.
+// Any other value would read as an empty list, and all hosts would be removed.
 bool is_list(const json& value) { return value.is_null() || value.is_array(); }
 
 std::string quote(const json& value) { return value.dump().substr(0, kMaxQuotedBytes); }
@@ -48,7 +48,7 @@
   return !snake_or_camel(resource, "cluster_name", "clusterName").is_null();
 }
 
-// Nothing new goes to what the list does not call healthy, so UNHEALTHY and TIMEOUT count as DRAINING.
+// A host that is not listed as healthy gets no new calls, so UNHEALTHY and TIMEOUT count as DRAINING.
 WorkerState state_of(const json& endpoint) {
   const json& health = snake_or_camel(endpoint, "health_status", "healthStatus");
   bool takes_calls = false;
@@ -63,7 +63,7 @@
   return takes_calls ? WorkerState::ready : WorkerState::draining;
 }
 
-// Empty if there is no numeric address with a port.
+// Returns host:port; empty if the endpoint has no numeric address with a port.
 std::string address_of(const json& endpoint) {
   const json& socket =
       snake_or_camel(key(key(endpoint, "endpoint"), "address"), "socket_address", "socketAddress");
@@ -75,7 +75,7 @@
   return address;
 }
 
-// A file holds one resource, an array of them, or an object with such an array.
+// A file holds one resource, an array of resources, or an object with such an array.
 std::vector<const json*> resources_of(const json& file) {
   const json& listed = key(file, "resources");
   const json& resources = listed.is_array() ? listed : file;
@@ -106,7 +106,7 @@
   return found;
 }
 
-// Collects the hosts of one assignment.
+// Collects the hosts of one assignment; errors for an endpoint that cannot be used or is listed twice.
 class EndpointCollector {
  public:
   EndpointCollector() { list_.complete = true; }
@@ -114,7 +114,7 @@
   std::optional<ReadError> read_locality(const json& locality) {
     const json& endpoints = snake_or_camel(locality, "lb_endpoints", "lbEndpoints");
     if (!locality.is_object() || !is_list(endpoints)) {
-      return ReadError{"a group of endpoints is not an object with a list: " + quote(locality)};
+      return ReadError{"an entry of endpoints is not an object with a list lb_endpoints: " + quote(locality)};
     }
     const std::string zone = text(key(key(locality, "locality"), "zone"));
     for (const auto& endpoint : endpoints) {
@@ -133,7 +133,8 @@
     core::Member member;
     member.address = member.entry.worker = address_of(endpoint);
     if (member.address.empty() || !addresses_.insert(member.address).second) {
-      return ReadError{"an endpoint without a numeric address and port of its own: " + quote(endpoint)};
+      return ReadError{"an endpoint has no numeric address and port, or one that is listed twice: " +
+                       quote(endpoint)};
     }
     const json& weight = snake_or_camel(endpoint, "load_balancing_weight", "loadBalancingWeight");
     const json& metadata = snake_or_camel(key(endpoint, "metadata"), "filter_metadata", "filterMetadata");
--- a/src/xds/assignment.h
+++ b/src/xds/assignment.h
@@ -1,4 +1,4 @@
-// Envoy's Cluster and ClusterLoadAssignment, in the JSON form of xDS files, as a list of hosts.
+/// Reader of Envoy's Cluster and ClusterLoadAssignment resources, in the JSON form of xDS files.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,17 +9,17 @@
 
 namespace pathstack::xds {
 
-/// Why a list of hosts cannot be used.
+/// Why an endpoint list cannot be used.
 struct ReadError {
   std::string reason;  // for the operator; quotes at most 200 bytes of the file
 };
 
-/// The endpoints of `cluster`: those of the assignment that the cluster holds itself, or else of the one that
-/// bears its name or the service name of its EDS configuration.
+/// Returns the endpoints of `cluster` as a complete host list: those of its inline assignment, or otherwise
+/// of the assignment named by the service name in its EDS configuration, or by the name of the cluster.
 ///
-/// All or nothing: half a list must not be taken for one from which hosts were removed. So a list that isn't
-/// one, and an endpoint without a numeric address and port of its own, are errors. Unknown keys are ignored.
-/// Cost: n log n in the number of endpoints.
+/// Fails as a whole, as a partial list would look like one from which hosts were removed: a value of another
+/// type in place of a list, and an endpoint without a unique numeric address and port, are errors. Unknown
+/// keys are ignored. Cost: n log n in the number of endpoints.
 Result<core::MemberList, ReadError> read_assignment(const nlohmann::json& file, const std::string& cluster);
 
 }  // namespace pathstack::xds
--- a/src/xds/file_watch.h
+++ b/src/xds/file_watch.h
@@ -1,4 +1,4 @@
-// When a file has to be read again.
+/// Decides when a watched file must be read again.
 #pragma once
 
 #include <algorithm>
@@ -8,20 +8,20 @@
 
 namespace pathstack::xds {
 
-/// Decides from a file's stamps (inode, size, time of change) when it has to be read.
+/// Decides from the stamps of a file (inode, size, modification time) when the file must be read.
 ///
-/// Two writings within one tick of the file system's clock bear the same stamp, so a file is read again until
-/// its stamp has been seen for `kSettleTime`. That span is one of the monotonic clock: the file's own times
-/// are of the wall clock, which may be stepped, and serve as marks only. A reading that failed is repeated
-/// with backoff, as its cause may leave the stamp as it is. Every call is O(1).
+/// Two writes within one tick of the file system's clock leave the same stamp, so a file is read again until
+/// its stamp has been unchanged for `kSettleTime`. That time is measured on the monotonic clock: the times of
+/// the file are on the wall clock, which may be stepped, and are only compared for equality. A failed read is
+/// repeated with backoff, as its cause may go away without a change of the stamp. Every call is O(1).
 class FileWatch {
  public:
   static constexpr core::Millis kSettleTime{2000};
   static constexpr core::Millis kInitialRetryDelay{500}, kMaxRetryDelay{8000};
 
-  /// True if the file is to be read now. `stamp`: as taken before the reading; empty if there is no file.
+  /// Returns true if the file must be read now. `stamp`: taken before the read; empty if there is no file.
   bool needs_read(const std::string& stamp, core::Millis now) {
-    if (stamp.empty()) return false;  // a file that is just being replaced comes back
+    if (stamp.empty()) return false;  // absent for a moment while it is replaced
     changed_ = stamp != stamp_;
     if (changed_) {
       stamp_ = stamp;
@@ -31,14 +31,14 @@
       failed_ = false;
     }
     if (settled_) return failed_ && now >= retry_at_;
-    settled_ = now - first_seen_ >= kSettleTime;  // this reading is the last of this stamp
+    settled_ = now - first_seen_ >= kSettleTime;  // the last read for this stamp
     return true;
   }
 
-  /// True if the last `needs_read` saw another stamp than the one before.
+  /// Returns true if the last `needs_read` got a stamp that differs from the one before.
   bool changed() const { return changed_; }
 
-  /// The result of the reading that was asked for.
+  /// Reports the result of the read that `needs_read` requested.
   void read_done(bool succeeded, core::Millis now) {
     failed_ = !succeeded;
     if (succeeded) return;
--- a/src/xds/host_file.cpp
+++ b/src/xds/host_file.cpp
@@ -50,7 +50,7 @@
   return status;
 }
 
-// Tells one version of the file from the next; empty if there is no file.
+// Identifies a version of the file; empty if there is no file.
 std::string HostFile::stamp() const {
   struct stat at {};
   if (stat(source_.path.c_str(), &at) != 0) return {};
@@ -72,10 +72,10 @@
   return std::monostate();
 }
 
-// On an error the hosts stay as they were.
+// On an error the host list in force stays.
 std::optional<ReadError> HostFile::apply(const std::string& content) {
   const auto file = nlohmann::json::parse(content, nullptr, false);
-  if (file.is_discarded()) return ReadError{"cannot be read as JSON"};
+  if (file.is_discarded()) return ReadError{"is not valid JSON"};
   auto list = read_assignment(file, source_.cluster);
   if (!list) return list.error();
   set_start_times(*list);
@@ -83,8 +83,8 @@
   return std::nullopt;
 }
 
-// The hosts of the first list may have run for long. One that is added later is cold, and must not be sent a
-// warm host's share.
+// Hosts of the first list may have been running for long. A host that is added later is cold and must not get
+// the share of a warm host, so its start time is now.
 void HostFile::set_start_times(core::MemberList& list) {
   std::map<std::string, core::Millis> started;
   for (auto& member : list.members) {
