--- a/tests/invoker/config_test.cpp
+++ b/tests/invoker/config_test.cpp
@@ -1,4 +1,4 @@
-// The one reader of configuration, and Envoy's list of hosts.
+// Tests the configuration reader, Envoy's endpoint list in files, and reloads.
 #include "config/config.h"
 
 #include <fcntl.h>
@@ -39,7 +39,7 @@
   return {};
 }
 
-TEST_CASE("a faulty configuration is refused by the name of its key") {
+TEST_CASE("an invalid configuration is rejected with the name of the key") {
   CHECK(error_of(valid_config()).empty());
   const std::vector<std::pair<const char*, json>> faults = {{"/listen", "here"},
                                                             {"/seed", "12"},
@@ -61,10 +61,10 @@
   }
 }
 
-// Failure found in review: a setting of the wrong kind was read as absent, so that its rule or limit did not
-// hold.
+// Regression: a setting of the wrong type was read as absent, which disabled its rule or limit.
 TEST_CASE(
-    "a setting of the wrong kind is refused by the name of its key; unknown keys and absent ones are not") {
+    "a setting of the wrong type is rejected with the name of the key; unknown and absent keys are "
+    "accepted") {
   const std::vector<std::pair<const char*, json>> faults = {{"settings.Rules", 5},
                                                             {"settings.Rules.DrainGrace", "250"},
                                                             {"settings.Rules.Cold", -1},
@@ -96,9 +96,9 @@
   CHECK(error_of(file).empty());
 }
 
-// Failure found on a variant of the settings with peer messages: hosts were probed to tell invokers that hear
-// nothing.
-TEST_CASE("the module of an invoker has no peers, whatever the settings allow") {
+// Regression: with peer messages in the settings, hosts were probed to inform other invokers, which cannot
+// receive messages.
+TEST_CASE("the decision module of an invoker sends no peer messages, whatever the settings allow") {
   json file = valid_config();
   file["settings"]["Bounds"]["PeerMessages"] = true;
   file["settings"]["Bounds"]["Probes"] = true;
@@ -110,7 +110,7 @@
   CHECK_FALSE(settings.peer_messages);
 }
 
-TEST_CASE("triggers need a broker and queues, and make platform keys optional") {
+TEST_CASE("triggers need a broker and queues, and make the platform keys optional") {
   json file = valid_config();
   file.erase("listen");
   file.erase("changelog");
@@ -140,7 +140,7 @@
 }
 
 TEST_CASE(
-    "xDS endpoints are hosts: DRAINING drains, the unhealthy get nothing new, half a file changes nothing") {
+    "xDS endpoints are read as hosts: DRAINING and unhealthy ones drain, and an invalid list is rejected") {
   const auto list = xds::read_assignment(
       assignment(json::array({endpoint(1, "HEALTHY"), endpoint(2, "DRAINING"), endpoint(3, "UNHEALTHY"),
                               endpoint(4, json()), endpoint(5, 3)})),
@@ -165,8 +165,8 @@
                                    "bins"));
 }
 
-// Failure found in review: something else in place of a list read as an empty one, and all hosts were gone.
-TEST_CASE("an xDS file with something else in place of a list of endpoints is rejected") {
+// Regression: another value in place of a list was read as an empty list, which removed all hosts.
+TEST_CASE("an xDS file with another value in place of a list of endpoints is rejected") {
   json whole = assignment(json::array({endpoint(1, "HEALTHY")}));
   json wrong = whole;
   wrong["endpoints"] = "none";
@@ -182,9 +182,9 @@
   CHECK(xds::read_assignment(wrong, "bins")->members.empty());
 }
 
-// Failure found in review: a file written in place twice within a tick of the file system's clock kept its
-// time and size, and the second writing was never read.
-TEST_CASE("an xDS file written in place twice in a moment is read again; half of it is rejected once") {
+// Regression: a file that is written in place twice within one tick of the file system's clock keeps its
+// modification time and size, and the second content was never read.
+TEST_CASE("an xDS file written twice within a clock tick is read again; a truncated file is rejected once") {
   net::Loop loop;
   core::Counters counters;
   char path[] = "/tmp/pathstack-xds-XXXXXX";
@@ -222,7 +222,7 @@
   std::remove(path);
 }
 
-TEST_CASE("an xDS file is read again when it changes; what was added has just started") {
+TEST_CASE("an xDS file is read again when it changes; an added endpoint counts as just started") {
   net::Loop loop;
   core::Counters counters;
   char path[] = "/tmp/pathstack-xds-XXXXXX";
@@ -253,20 +253,20 @@
   std::remove(path);
 }
 
-TEST_CASE("a configuration file that breaks off at any byte is refused, with the name of the file") {
+TEST_CASE("a configuration file that is truncated at any byte is rejected with the name of the file") {
   const TemporaryPath path;
   const std::string whole = valid_config().dump();
   for (std::size_t bytes = 0; bytes < whole.size(); ++bytes) {
     path.write(whole.substr(0, bytes));
     CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
   }
-  path.write(whole + whole.substr(whole.size() / 2));  // in place over a longer one
+  path.write(whole + whole.substr(whole.size() / 2));  // written in place over a longer file
   CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
   path.write(whole);
   CHECK(config::read_config_file(path.file()).document == valid_config());
 }
 
-TEST_CASE("a configuration file that fails to be read is refused, with the name of the file") {
+TEST_CASE("a configuration file that cannot be read is rejected with the name of the file") {
   const TemporaryPath path;
   CHECK_THROWS_AS(config::read_config_file(path.file()), config::ConfigError);
   path.make_unreadable();
@@ -274,7 +274,7 @@
   CHECK_THROWS_WITH(config::read_config_file(path.file()), Catch::Contains(path.file()));
 }
 
-TEST_CASE("a file of which a read fails has no content; an empty one has") {
+TEST_CASE("read_file returns nothing if a read fails, and an empty string for an empty file") {
   const TemporaryPath path;
   CHECK_FALSE(config::read_file(path.file()));
   path.write("");
@@ -284,17 +284,17 @@
   CHECK(config::read_file(path.file()) == large);
   path.make_unreadable();
   CHECK_FALSE(config::read_file(path.file()));
-  CHECK_FALSE(config::read_file("/proc/self/mem"));  // opens, and fails with EIO at the first byte
+  CHECK_FALSE(config::read_file("/proc/self/mem"));  // opens, but the first read fails with EIO
 }
 
-// The signal came before the file was whole, and the new configuration never came into force.
-TEST_CASE("a configuration that is whole only after SIGHUP comes into force by itself") {
+// Regression: if SIGHUP came before the file was complete, the new configuration was never applied.
+TEST_CASE("a configuration that is completed only after SIGHUP is applied without another signal") {
   net::Loop loop;
   const TemporaryPath path;
   json next = valid_config();
   next["changelog"] = "127.0.0.1:9093";
   const std::string text = next.dump();
-  // Empty, half, absent for a moment during a replacement, and a read that fails.
+  // Empty, truncated, absent during a replacement, and unreadable.
   const std::vector<std::function<void()>> states = {[&] { path.write(""); },
                                                      [&] { path.write(text.substr(0, text.size() / 2)); },
                                                      [&] { path.remove(); }, [&] { path.make_unreadable(); }};
@@ -330,7 +330,7 @@
   }
 }
 
-TEST_CASE("a reload that keeps failing is given up, and a further request starts anew") {
+TEST_CASE("a reload that keeps failing is given up, and a new request starts again") {
   net::Loop loop;
   std::size_t attempts = 0, reports = 0, given_up = 0;
   app::Reloader reloader(
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -1,4 +1,4 @@
-// The membership client over connections that break.
+// Tests the membership client over connections that are lost, slow or moved.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <memory>
@@ -11,7 +11,9 @@
 namespace pathstack::test {
 namespace {
 
-TEST_CASE("a change log that breaks off anywhere is resumed; each event is reported once, in order") {
+TEST_CASE(
+    "after a connection is cut anywhere the membership client resumes; each event is reported once, in "
+    "order") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -30,7 +32,9 @@
   CHECK(std::is_sorted(log.requested_since.begin(), log.requested_since.end()));
 }
 
-TEST_CASE("a change log that moves is asked at its new address at once; the old one is left") {
+TEST_CASE(
+    "when the membership log moves, the client requests events at the new address and closes the old "
+    "connection") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -56,7 +60,7 @@
   CHECK(counters.value(core::Counter::feed_moves) == 1);
 }
 
-TEST_CASE("a change log that stops half-way through an event and stays open is asked again") {
+TEST_CASE("a membership log that stops within an event and stays open is requested again") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -72,15 +76,14 @@
     loop.turn(loop.now() + Millis(20), [] {});
     if (loop.now() < next) continue;
     next = loop.now() + Millis(20);
-    for (const auto& peer : log.server.peers) peer->write("x");  // it trickles on, but no line ends
+    for (const auto& peer : log.server.peers) peer->write("x");  // bytes arrive, but no line is completed
   }
   CHECK(log.requested_since.size() == 2);
   CHECK(log.requested_since.back() == updates);
 }
 
-// Failure found in review: an event with a row that cannot be read was passed over, and its host lost for
-// good.
-TEST_CASE("an event with a host that cannot be read is asked for again, and reported once it can be") {
+// Regression: an event with a row that cannot be read was skipped, and its host was lost for good.
+TEST_CASE("an event with a host that cannot be read is requested again, and reported once it can be read") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -105,14 +108,14 @@
          R"(","host_port":"127.0.0.1:9","locality":"east","phase":"ready"})";
 }
 
-std::string whole_list(std::size_t hosts) {
+std::string complete_list(std::size_t hosts) {
   std::string text = R"({"seq":7,"fleet":{"revision":1,"complete":true,"members":[)";
   for (std::size_t i = 0; i < hosts; ++i) text += (i > 0 ? "," : "") + row_of(i);
   return text + "]}}\n";
 }
 
-// Failure found in review: a list of hosts over 1 MiB was never read, and asked for again for ever.
-TEST_CASE("a whole list of many hosts is read; half of it changes nothing") {
+// Regression: a host list over 1 MiB was never accepted, and was requested again without end.
+TEST_CASE("a complete list of many hosts is applied; half of the list changes nothing") {
   constexpr std::size_t kHosts = 20000;
   net::Loop loop;
   net::BufferPool pool(256);
@@ -120,7 +123,7 @@
   StandInLog log(loop, pool);
   log.events = 0;
   log.truncates_replies = false;
-  const std::string text = whole_list(kHosts);
+  const std::string text = complete_list(kHosts);
   REQUIRE(text.size() > feed::kDefaultMaxEventBytes);
   log.replies = {text.substr(0, text.size() / 2), text};
   std::vector<core::MemberList> updates;
@@ -136,7 +139,7 @@
   CHECK(updates[0].members.back().entry.worker == "s-" + std::to_string(kHosts - 1));
 }
 
-TEST_CASE("a row of a list over 64 KiB makes its event malformed, and no other") {
+TEST_CASE("a host row over 64 KiB makes its event malformed, and no other event") {
   const auto list = [](const std::string& row) {
     return R"({"seq":1,"fleet":{"complete":true,"members":[)" + row_of(1) + "," + row + "]}}";
   };
@@ -151,7 +154,7 @@
   CHECK(log.read_line(list(fits).substr(0, 100), out) == feed::EventSequence::Result::malformed);
 }
 
-// A log that is crowded: it answers each `since` with the same text, a piece every few milliseconds.
+// A membership log under load: sends the same text for each request, one piece every 10 ms.
 struct TricklingLog {
   class Peer final : public net::Stream {
    public:
@@ -182,14 +185,14 @@
   Server<Peer, TricklingLog> server;
 };
 
-// A list that took longer than the wait for a line was cut off and asked for again, for ever.
-TEST_CASE("a whole list that a crowded log sends slowly is read in the end") {
+// Regression: a list that took longer than the line timeout was cut off and requested again, without end.
+TEST_CASE("a complete list that a loaded log sends slowly is applied in the end") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
   TricklingLog log(loop, pool);
-  log.text = whole_list(5);
-  log.piece = log.text.size() / 100 + 1;  // a second at least, five times the first wait
+  log.text = complete_list(5);
+  log.piece = log.text.size() / 100 + 1;  // takes at least 1 s, five times the first line timeout
   feed::Timeouts timeouts;
   timeouts.line_initial = Millis(200);
   std::vector<core::MemberList> updates;
@@ -206,13 +209,13 @@
   CHECK(counters.value(core::Counter::feed_line_late) == log.requests - 1);
 }
 
-TEST_CASE("each wait that runs out doubles the next, up to its bound; what was received ends that") {
+TEST_CASE("each staleness timeout that expires doubles the next, up to its bound; received data resets it") {
   feed::StalenessTimeout staleness{feed::Timeouts()};
   CHECK(staleness.silence() == Millis(1600));
   staleness.silence_expired();
   CHECK(staleness.line() == Millis(1600));
   for (int i = 0; i < 20; ++i) staleness.silence_expired();
-  // The updates of a log that stopped count as received 4 s later.
+  // Below the 4 s after which the events of a stopped log count as delivered.
   CHECK(staleness.silence() == Millis(3000));
   staleness.line_expired();
   CHECK(staleness.line() == Millis(3200));
@@ -225,23 +228,23 @@
   CHECK(staleness.line() == Millis(1600));
 }
 
-std::vector<double> pauses(feed::Backoff& backoff, int count) {
+std::vector<double> draw_delays(feed::Backoff& backoff, int count) {
   std::vector<double> out(static_cast<std::size_t>(count));
-  for (double& pause : out) pause = backoff.next().count();
+  for (double& delay : out) delay = backoff.next().count();
   return out;
 }
 
-TEST_CASE("pauses between connections double within their bounds, and differ from seed to seed alone") {
+TEST_CASE("backoff delays double within their bounds, and depend on the seed only") {
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     feed::Backoff backoff(Millis(50), Millis(500), seed), same(Millis(50), Millis(500), seed);
     feed::Backoff other(Millis(50), Millis(500), seed + 1);
-    const auto drawn = pauses(backoff, 10);
-    CHECK(drawn == pauses(same, 10));
-    CHECK(drawn != pauses(other, 10));
+    const auto drawn = draw_delays(backoff, 10);
+    CHECK(drawn == draw_delays(same, 10));
+    CHECK(drawn != draw_delays(other, 10));
     double ceiling = 50;
-    for (const double pause : drawn) {
-      CHECK(pause >= ceiling / 2);
-      CHECK(pause < ceiling);
+    for (const double delay : drawn) {
+      CHECK(delay >= ceiling / 2);
+      CHECK(delay < ceiling);
       ceiling = std::min(ceiling * 2, 500.0);
     }
     backoff.reset();
@@ -249,7 +252,7 @@
   }
 }
 
-// Fails the first connects at once, as a machine without a route does.
+// Fails the first connects at once, as on a machine without a route.
 class UnreachableAtFirst final : public net::SystemCalls {
  public:
   int connect(int fd, const sockaddr* address, socklen_t size) override {
@@ -261,7 +264,7 @@
   int connects = 0;
 };
 
-TEST_CASE("a change log that cannot be reached from here is asked again with backoff") {
+TEST_CASE("the client reconnects with backoff to a membership log that cannot be reached") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -279,10 +282,11 @@
   for (int i = 0; i < 5000 && updates < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
   CHECK(updates == 20);
   CHECK(calls.connects == UnreachableAtFirst::kFailing + 1);
-  CHECK(loop.now() - began >= Millis(25 + 50 + 100));  // the least pauses: none is left out
+  CHECK(loop.now() - began >= Millis(25 + 50 + 100));  // the shortest delays; none is skipped
 }
 
-TEST_CASE("a change log that moves to and fro, also to where nobody listens, reports each event once") {
+TEST_CASE(
+    "each event is reported once while the membership log moves back and forth, also to a closed port") {
   net::Loop loop;
   net::BufferPool pool(64);
   core::Counters counters;
@@ -306,7 +310,7 @@
   };
   client.start();
   REQUIRE(turn_until([&] { return updates.size() == 3; }));
-  client.move(second.server.address());  // several within a turn: the last one counts
+  client.move(second.server.address());  // several moves in one turn: the last one counts
   client.move(first.server.address());
   client.move(dead);
   client.move(second.server.address());
--- a/tests/invoker/list_lease_test.cpp
+++ b/tests/invoker/list_lease_test.cpp
@@ -1,4 +1,4 @@
-// How long the list of hosts may be relied on: by the platform's clocks, and over real connections.
+// Tests the lease on the host list: its rules alone, and with a client over loopback connections.
 #include "feed/list_lease.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 constexpr Millis kMaxWait{20000};
 
-// A client of a log that sends what the test says, and the leases that the client reports.
+// A membership client with a stand-in log, and the end of the lease that the client reported last.
 struct LeaseFixture {
   LeaseFixture() {
     log.events = 1;
@@ -42,28 +42,28 @@
 
 }  // namespace
 
-TEST_CASE("the lease on the list ends by the platform's clocks") {
+TEST_CASE("the lease on the host list ends within the allowances of the platform") {
   ListLease lease(Millis(1000));
-  CHECK(lease.until() == Millis(1000));  // nothing says how old the configuration's list is
+  CHECK(lease.until() == Millis(1000));  // the age of the configured list is unknown
   lease.events_requested(Millis(1010));
   lease.event_received(Millis(1020));
-  CHECK(lease.until() == Millis(1000));  // more events may be behind it
+  CHECK(lease.until() == Millis(1000));  // more events may follow
   lease.confirmed(Millis(1030));
-  CHECK(lease.until() == Millis(4780));  // the log may have stopped a moment before
+  CHECK(lease.until() == Millis(4780));  // the log may have stopped 250 ms earlier
   lease.event_received(Millis(2000));
   CHECK(lease.until() == Millis(5750));
 
-  SECTION("a break") {
+  SECTION("a lost connection") {
     lease.connection_lost(Millis(2500));
     CHECK(lease.until() == Millis(2500));
-    lease.connection_lost(Millis(4000));  // a later one changes nothing: the outage began before
+    lease.connection_lost(Millis(4000));  // a later loss changes nothing: the outage began before
     CHECK(lease.until() == Millis(2500));
   }
   SECTION("a move") {
     lease.log_moved(Millis(1800));
     CHECK(lease.until() == Millis(5550));
   }
-  SECTION("a question, until it is answered to the end") {
+  SECTION("a request, until it is answered in full") {
     lease.events_requested(Millis(2500));
     CHECK(lease.until() == Millis(2500));
     lease.event_received(Millis(2510));
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("the client's lease begins with a line that shows that nothing is missing") {
+TEST_CASE("the lease of the client begins with a line that shows that no event is missing") {
   LeaseFixture fixture;
   fixture.client.start();
   CHECK_FALSE(fixture.is_current());
@@ -85,7 +85,7 @@
   CHECK(fixture.until <= fixture.loop.now() + ListLease::kStopAllowance);
 }
 
-TEST_CASE("a connection that breaks while the log refuses new ones ends the lease") {
+TEST_CASE("a connection that is lost while the log refuses new ones ends the lease") {
   LeaseFixture fixture;
   fixture.client.start();
   REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
@@ -97,19 +97,20 @@
 }
 
 TEST_CASE(
-    "a log that is silent ends the lease as soon as it is asked again, and is believed once it answers") {
+    "the lease ends when the client requests events again from a silent log, and resumes with a full "
+    "answer") {
   LeaseFixture fixture;
   fixture.client.start();
   REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
   fixture.log.events = 2;
-  fixture.log.truncates_replies = true;  // cut after a random part, mostly within the event
+  fixture.log.truncates_replies = true;  // usually cut within the event
   REQUIRE(fixture.turn_until([&] { return fixture.log.requested_since.size() >= 2; }));
   CHECK_FALSE(fixture.is_current());
   fixture.log.truncates_replies = false;
   REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
 }
 
-TEST_CASE("a line that the process was late to read renews the lease only from before its stall") {
+TEST_CASE("a line that is read late renews the lease only from the time before the stall of the process") {
   LeaseFixture fixture;
   fixture.client.start();
   REQUIRE(fixture.turn_until([&] { return fixture.is_current(); }));
--- a/tests/invoker/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The parsers under random cuts of valid messages and under random garbage.
+// Tests the parsers with valid messages in random pieces, with invalid messages and with random bytes.
 #include <catch2/catch.hpp>
 
 #include "amqp/content_header.h"
@@ -16,13 +16,13 @@
 
 constexpr int kRounds = 300;
 
-std::string random_bytes(Random& random, std::size_t most) {
-  std::string out(below(random, most), ' ');
+std::string random_bytes(Random& random, std::size_t limit) {
+  std::string out(below(random, limit), ' ');
   for (char& c : out) c = static_cast<char>(random());
   return out;
 }
 
-TEST_CASE("RESP arrays come out as they went in, however they are cut") {
+TEST_CASE("RESP arrays are read as written, in pieces of any size") {
   Random random(1);
   for (int round = 0; round < kRounds; ++round) {
     std::vector<resp::Words> sent(1 + below(random, 4));
@@ -38,7 +38,7 @@
   }
 }
 
-TEST_CASE("what is no RESP array of allowed size spoils the stream") {
+TEST_CASE("input other than a RESP array of allowed size is an error of the stream") {
   Random random(2);
   bool valid = true;
   for (const char* bad : {"*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n$16385\r\n", "*1\r\n$x\r\n",
@@ -46,7 +46,7 @@
     parse_cut<resp::Parser, resp::Words>(random, bad, valid);
     CHECK_FALSE(valid);
   }
-  // Only one word may be long: the bound holds before the memory is taken.
+  // Only one word may be long: the limit is checked before memory is allocated.
   const std::string long_word = "$16384\r\n" + std::string(16384, 'x') + "\r\n";
   parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", valid);
   CHECK_FALSE(valid);
@@ -54,7 +54,7 @@
   CHECK(valid);
 }
 
-TEST_CASE("hosts' lines come out as they went in, however they are cut") {
+TEST_CASE("lines of hosts are read as written, in pieces of any size") {
   Random random(3);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -83,7 +83,7 @@
   CHECK_FALSE(valid);
 }
 
-TEST_CASE("AMQP frames, properties and tables come out as they went in, however they are cut") {
+TEST_CASE("AMQP frames, properties and tables are read as written, in pieces of any size") {
   Random random(4);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -111,8 +111,8 @@
   }
 }
 
-// Bytes as the specification prints them, so that writer and reader cannot be wrong alike.
-TEST_CASE("AMQP bytes stand in the order of the specification") {
+// Expects bytes taken from the specification, so that an error common to writer and reader is found.
+TEST_CASE("AMQP encodings match the bytes of the specification") {
   using namespace std::string_literals;
   CHECK(amqp::encode_frame(amqp::FrameType::heartbeat, 0, {}) == "\x08\0\0\0\0\0\0\xCE"s);
   CHECK(amqp::encode_frame(amqp::FrameType::method, 1, "\0\x3C\0\x50"s) ==
@@ -128,7 +128,7 @@
   CHECK(table.table() == amqp::FieldTable{{"s", "hi"s}, {"n", std::int64_t{-2}}, {"v", std::monostate()}});
 }
 
-TEST_CASE("garbage ends a stream or is passed over; it never ends the process") {
+TEST_CASE("random bytes end a stream or are skipped; they never end the process") {
   Random random(5);
   bool valid = false;
   for (int round = 0; round < 20 * kRounds; ++round) {
@@ -139,8 +139,8 @@
     parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), valid);
     amqp::decode_content_header(std::string("\0\x3C\0\0", 4) +
                                 garbage(random, std::string("\0\1FAStx\xFF", 8)));
-    const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
-    amqp::ArgumentReader reader(wild);
+    const std::string garbage_bytes = garbage(random, std::string("\0\0\0\1FAStx", 9));
+    amqp::ArgumentReader reader(garbage_bytes);
     reader.table();
     net::parse_fields(garbage(random, "a=b,;:"));
     feed::EventSequence log;
@@ -149,7 +149,7 @@
   }
 }
 
-TEST_CASE("the change log is read once and in order") {
+TEST_CASE("events of the membership log are read once and in order") {
   const auto event = [](int seq) {
     return R"({"seq":)" + std::to_string(seq) +
            R"(,"fleet":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:9",)"
@@ -165,7 +165,7 @@
   CHECK(log.read_line("4", list) == feed::EventSequence::Result::up_to_date);
   CHECK(log.read_line("3", list) == feed::EventSequence::Result::no_update);
   CHECK(log.read_line("6", list) == feed::EventSequence::Result::gap);
-  // The number may stand in an object of its own.
+  // The sequence number may be the only key of an object.
   CHECK(log.read_line(R"({"seq":4})", list) == feed::EventSequence::Result::up_to_date);
   CHECK(log.read_line(R"({"seq":3})", list) == feed::EventSequence::Result::no_update);
   CHECK(log.read_line(R"({"seq":5})", list) == feed::EventSequence::Result::gap);
--- a/tests/invoker/support/stand_in_log.h
+++ b/tests/invoker/support/stand_in_log.h
@@ -1,4 +1,4 @@
-// A stand-in for the membership log.
+/// A stand-in for the membership log.
 #pragma once
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace pathstack::test {
 
-// Answers `since N` with the later events, cut anywhere; breaks off after a random part, or stops there and
-// stays open.
+/// Answers `since N` with all later events and the number of the last one. Cuts the reply off after a random
+/// part if `truncates_replies`, then closes the connection unless `stays_open`.
 struct StandInLog {
   class Peer final : public net::Stream {
    public:
@@ -51,11 +51,11 @@
   StandInLog(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
   Random random{6};
   Server<Peer, StandInLog> server;
-  std::size_t events = 20;
-  std::vector<std::uint64_t> requested_since;
-  std::size_t malformed_once = 0;  // the number of an event whose row has no id, the first time
+  std::size_t events = 20;                     // number of the last event
+  std::vector<std::uint64_t> requested_since;  // the number of each request
+  std::size_t malformed_once = 0;              // event whose row has no id in the reply to the first request
   bool stays_open = false, truncates_replies = true;
-  std::vector<std::string> replies;  // to each `since` in turn, in front of the events
+  std::vector<std::string> replies;  // text to send before the events, by request
 };
 
 }  // namespace pathstack::test
