--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -172,7 +172,7 @@
     const xds::HostFile::Status moved = host_file_->switch_source(next.xds->file, next.xds->cluster);
     if (!moved) throw config::ConfigError("configuration: xds.file: " + moved.error().reason);
   }
-  if (membership_client_) membership_client_->move(next.changelog);
+  if (membership_client_) membership_client_->switch_address(next.changelog);
   counters_.add(core::Counter::config_reread);
 }
 
--- a/src/feed/membership_client.cpp
+++ b/src/feed/membership_client.cpp
@@ -44,7 +44,7 @@
 }
 
 // Connects without a delay: the platform counts events of the new log as delivered soon after the move.
-void MembershipClient::move(const std::string& address) {
+void MembershipClient::switch_address(const std::string& address) {
   if (address == address_) return;
   counters_.add(core::Counter::feed_moves);
   if (event_log_ != nullptr) event_log_->write("membership.moved", {{"address", address}});
--- a/src/feed/membership_client.h
+++ b/src/feed/membership_client.h
@@ -55,7 +55,7 @@
   /// Switches to another address of the log, which continues the same sequence numbers. Closes the old
   /// connection at once: the old log reports nothing more, but may keep the connection open for a while and
   /// look healthy. No effect if the address is already in use.
-  void move(const std::string& address);
+  void switch_address(const std::string& address);
 
  private:
   net::Loop& loop_;
--- a/tests/invoker/feed_test.cpp
+++ b/tests/invoker/feed_test.cpp
@@ -51,7 +51,7 @@
   };
   client.start();
   REQUIRE(turn_until([&] { return old.requested_since.size() == 1; }));
-  client.move(next.server.address());
+  client.switch_address(next.server.address());
   REQUIRE(turn_until([&] { return updates.size() == 17; }));
   CHECK(updates.front() == "s4");
   CHECK(next.requested_since.front() == 3);
@@ -310,16 +310,16 @@
   };
   client.start();
   REQUIRE(turn_until([&] { return updates.size() == 3; }));
-  client.move(second.server.address());  // several moves in one turn: the last one counts
-  client.move(first.server.address());
-  client.move(dead);
-  client.move(second.server.address());
+  client.switch_address(second.server.address());  // several moves in one turn: the last one counts
+  client.switch_address(first.server.address());
+  client.switch_address(dead);
+  client.switch_address(second.server.address());
   second.events = 5;
   REQUIRE(turn_until([&] { return updates.size() == 5; }));
-  client.move(dead);
+  client.switch_address(dead);
   for (int i = 0; i < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
   first.events = 20;
-  client.move(first.server.address());
+  client.switch_address(first.server.address());
   REQUIRE(turn_until([&] { return updates.size() == 20; }));
   CHECK(updates == all);
   CHECK(first.requested_since == std::vector<std::uint64_t>{0, 5});
