--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -215,7 +215,7 @@
 bool ConnectionPool::may_still_write(Millis added_at) {
   const Millis now = loop_.now();
   if (now <= list_current_until_) return true;
-  const Millis longest = pathstack::policy::longest_connection_wait(limits_.drain_grace, limits_.probes);
+  const Millis longest = pathstack::policy::max_connection_wait(limits_.drain_grace, limits_.probes);
   if (now - added_at <= longest) return true;
   counters_.add(core::Counter::guard_waited_too_long);
   return false;
--- a/src/policy/drain_grace.h
+++ b/src/policy/drain_grace.h
@@ -16,7 +16,7 @@
 }
 
 /// How long new work may wait for its connection while the list of workers is not current.
-inline Millis longest_connection_wait(Millis drain_grace, bool probes_allowed) {
+inline Millis max_connection_wait(Millis drain_grace, bool probes_allowed) {
   return drain_grace - lease_on_worker(drain_grace, probes_allowed);
 }
 
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -167,8 +167,8 @@
 
 void Engine::on(const event::PeerMessage& event, Millis now) {
   for (const GossipRecord& record : parse_gossip(event.text)) {
-    if (record.kind == GossipRecord::Kind::own_calls) {
-      reports_.record_peer_calls(record.value);
+    if (record.kind == GossipRecord::Kind::own_requests) {
+      reports_.record_peer_requests(record.value);
       continue;
     }
     const auto worker = workers_.find_by_tag(record.tag);
@@ -221,12 +221,12 @@
   if (retries_.given_up_after_attempt() > 0) {
     counters["gave_up_after_attempt"] = retries_.given_up_after_attempt();
   }
-  counters["lease.asked"] = static_cast<double>(lease_.asked());
+  counters["lease.asked"] = static_cast<double>(lease_.probes_sent());
   counters["lease.renewed"] = static_cast<double>(renewal_.orders_sent());
-  counters["lease.not_well"] = static_cast<double>(lease_.denied());
+  counters["lease.not_well"] = static_cast<double>(lease_.unhealthy_answers());
   counters["now.list_stale"] = lease_.is_list_current(now) ? 0 : 1;
-  counters["now.kept"] = static_cast<double>(renewal_.kept());
-  counters["now.withheld"] = static_cast<double>(lease_.withheld(now));
+  counters["now.kept"] = static_cast<double>(renewal_.kept_count());
+  counters["now.withheld"] = static_cast<double>(lease_.withheld_count(now));
   for (std::size_t i = 0; i < kShedReasons; ++i) {
     const auto reason = static_cast<ShedReason>(i);
     if (shedder_.count(reason) > 0) {
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -10,10 +10,10 @@
 constexpr std::size_t kRecordLength = kTagLength + 1;
 constexpr std::size_t kMessageBytes = 240;  // stays under the wire's limit
 constexpr char kZeroLevel = '0';
-constexpr char kDownMark = '!';          // in place of a level; no letter of a tag
-constexpr char kOwnCallsTag[] = "!!!";   // in place of a worker's tag
-constexpr double kStepsPerDoubling = 4;  // own calls are sent on a logarithmic scale
-constexpr int kMostWaiting = 60;
+constexpr char kDownMark = '!';            // in place of a level; no letter of a tag
+constexpr char kOwnRequestsTag[] = "!!!";  // in place of a worker's tag
+constexpr double kStepsPerDoubling = 4;    // own calls are sent on a logarithmic scale
+constexpr int kMaxWaiting = 60;
 
 }  // namespace
 
@@ -24,20 +24,20 @@
   return tag;
 }
 
-void GossipMessage::add_own_calls(double calls) {
-  const int level = static_cast<int>(kStepsPerDoubling * std::log2(std::max(calls, 1.0)));
-  text_ += kOwnCallsTag;
+void GossipMessage::add_own_requests(double requests) {
+  const int level = static_cast<int>(kStepsPerDoubling * std::log2(std::max(requests, 1.0)));
+  text_ += kOwnRequestsTag;
   text_ += static_cast<char>(kZeroLevel + level);
 }
 
 void GossipMessage::add_worker_load(std::uint64_t worker_hash, double waiting) {
-  const int level = static_cast<int>(std::min<double>(waiting, kMostWaiting));
+  const int level = static_cast<int>(std::min<double>(waiting, kMaxWaiting));
   text_ += worker_tag(worker_hash) + static_cast<char>(kZeroLevel + level);
 }
 
 bool GossipMessage::has_space() const { return text_.size() + kRecordLength <= kMessageBytes; }
 
-bool GossipMessage::tells_of_workers() const { return text_.size() > kRecordLength; }
+bool GossipMessage::has_worker_records() const { return text_.size() > kRecordLength; }
 
 std::string GossipMessage::worker_down(std::uint64_t worker_hash) {
   return worker_tag(worker_hash) + kDownMark;
@@ -49,13 +49,13 @@
     GossipRecord record;
     record.tag = text.substr(i, kTagLength);
     const char level = text[i + kTagLength];
-    if (record.tag == kOwnCallsTag) {
-      record.kind = GossipRecord::Kind::own_calls;
+    if (record.tag == kOwnRequestsTag) {
+      record.kind = GossipRecord::Kind::own_requests;
       record.value = std::exp2((level - kZeroLevel) / kStepsPerDoubling);
     } else if (level == kDownMark) {
       record.kind = GossipRecord::Kind::worker_down;
     } else {
-      record.value = std::min(std::max(level - kZeroLevel, 0), kMostWaiting);
+      record.value = std::min(std::max(level - kZeroLevel, 0), kMaxWaiting);
     }
     records.push_back(std::move(record));
   }
--- a/src/policy/gossip.h
+++ b/src/policy/gossip.h
@@ -10,9 +10,9 @@
 /// One record of four characters: three name a worker, or the invoker itself, the fourth is a level.
 struct GossipRecord {
   enum class Kind {
-    own_calls,    // the sender's recent requests: `value`
-    worker_down,  // the worker with this tag is down
-    worker_load,  // about `value` requests wait at the worker with this tag
+    own_requests,  // the sender's recent requests: `value`
+    worker_down,   // the worker with this tag is down
+    worker_load,   // about `value` requests wait at the worker with this tag
   };
   Kind kind = Kind::worker_load;
   std::string tag;
@@ -26,13 +26,13 @@
 /// Collects records into one message that stays under the wire's limit.
 class GossipMessage {
  public:
-  void add_own_calls(double calls);
+  void add_own_requests(double requests);
   void add_worker_load(std::uint64_t worker_hash, double waiting);
   /// A load record still fits.
   bool has_space() const;
   const std::string& text() const { return text_; }
   /// A message that tells of nothing but the sender's calls is not worth sending.
-  bool tells_of_workers() const;
+  bool has_worker_records() const;
 
   static std::string worker_down(std::uint64_t worker_hash);
 
--- a/src/policy/lease_renewal.cpp
+++ b/src/policy/lease_renewal.cpp
@@ -9,21 +9,21 @@
 
 /// Before a lease ends: a round trip, and a turn of the loop that comes late.
 constexpr Millis kRenewalLead{40};
-constexpr Millis kRenewalLeadShort{20};  // where the budget runs short
-constexpr double kMostLeadShare = 0.25;  // of a short lease
-constexpr Millis kOrderAnswer{50};       // an order not answered by then does not keep another one back
-constexpr Millis kRateMemory{2000};
+constexpr Millis kShortRenewalLead{20};    // where the budget runs short
+constexpr double kMaxLeadShare = 0.25;     // of a short lease
+constexpr Millis kOrderAnswerTimeout{50};  // an order not answered by then does not keep another one back
+constexpr Millis kRateTimeConstant{2000};
 /// Requests per lease and worker: with fewer, chance leaves more gaps than the load budget can fill.
 constexpr double kRequestsPerLease = 2;
-constexpr double kReservedForFormer = 2;      // orders left for each kept worker before this one
-constexpr double kBudgetRunsShort = 0.9;      // share of the load budget that is left
-constexpr double kBudgetRunsVeryShort = 0.5;  // the same
-constexpr std::size_t kMostDelayed = 4;       // requests
-constexpr std::size_t kMostDelayedVeryShort = 6;
-constexpr Millis kLongestDelay{500};
-constexpr double kLongestDelayShare = 0.75;  // of the time to the latency objective
-constexpr double kMostOrdersLogged = 999;
-constexpr double kSlowRun = 1.6;  // mean runs: most answers have come by then
+constexpr double kOrdersReservedPerWorker = 2;  // orders left for each kept worker before this one
+constexpr double kLowBudgetShare = 0.9;         // share of the load budget that is left
+constexpr double kVeryLowBudgetShare = 0.5;     // the same
+constexpr std::size_t kMaxDelayedRequests = 4;  // requests
+constexpr std::size_t kMaxDelayedRequestsVeryLow = 6;
+constexpr Millis kMaxDelay{500};
+constexpr double kMaxDelayShare = 0.75;  // of the time to the latency objective
+constexpr double kMaxOrdersLogged = 999;
+constexpr double kSlowRunFactor = 1.6;  // mean runs: most answers have come by then
 
 }  // namespace
 
@@ -47,18 +47,18 @@
 }
 
 void LeaseRenewal::request_arrived(Millis now) {
-  requests_ = 1 + requests_ * decay(now, requests_at_, kRateMemory);
+  recent_requests_ = 1 + recent_requests_ * decay(now, requests_at_, kRateTimeConstant);
   requests_at_ = now;
 }
 
-double LeaseRenewal::share_left(Millis now) const {
+double LeaseRenewal::budget_share_left(Millis now) const {
   const double allowed = order_budget_.allowed(now);
   return allowed < std::numeric_limits<double>::infinity() ? order_budget_.left(now) / allowed : 1;
 }
 
 Millis LeaseRenewal::renewal_age(Millis now) const {
-  const Millis lead = share_left(now) < kBudgetRunsShort ? kRenewalLeadShort : kRenewalLead;
-  return lease_.length() - std::min(lead, lease_.length() * kMostLeadShare);
+  const Millis lead = budget_share_left(now) < kLowBudgetShare ? kShortRenewalLead : kRenewalLead;
+  return lease_.duration() - std::min(lead, lease_.duration() * kMaxLeadShare);
 }
 
 bool LeaseRenewal::is_due(Millis now) const {
@@ -67,37 +67,37 @@
 
 void LeaseRenewal::update(Millis now) {
   if (!is_due(now)) return release_all();
-  drop_lost(now);
-  choose(now);
+  drop_expired(now);
+  choose_kept_workers(now);
   double reserved = 0;
   for (const WorkerIndex worker : kept_) {
     renew(worker, reserved, now);
-    reserved += kReservedForFormer;
+    reserved += kOrdersReservedPerWorker;
   }
 }
 
 // Sweeps are too far apart: an order that leaves early is one too many soon.
-void LeaseRenewal::wake_at(Millis at, Millis now) {
-  const bool next_sweep_does = at >= now + kSweepInterval;
+void LeaseRenewal::set_timer(Millis at, Millis now) {
+  const bool sweep_comes_first = at >= now + kSweepInterval;
   const bool is_set = now < timer_at_ && timer_at_ <= at;
-  if (at <= now || next_sweep_does || is_set) return;
+  if (at <= now || sweep_comes_first || is_set) return;
   timer_at_ = at;
   actions_.emit(action::SetTimer{at - now, kRenewalTimer});
 }
 
 void LeaseRenewal::release_all() {
-  for (const WorkerIndex worker : kept_) lease_.keep(worker, false);
+  for (const WorkerIndex worker : kept_) lease_.set_kept(worker, false);
   kept_.clear();
 }
 
-void LeaseRenewal::drop_lost(Millis now) {
-  const auto is_lost = [&](WorkerIndex worker) {
+void LeaseRenewal::drop_expired(Millis now) {
+  const auto is_expired = [&](WorkerIndex worker) {
     if (workers_.is_ready(worker) && lease_.has_lease(worker, now)) return false;
-    lease_.keep(worker, false);
+    lease_.set_kept(worker, false);
     log_lost(worker, now);
     return true;
   };
-  kept_.erase(std::remove_if(kept_.begin(), kept_.end(), is_lost), kept_.end());
+  kept_.erase(std::remove_if(kept_.begin(), kept_.end(), is_expired), kept_.end());
 }
 
 // What an operator needs to see why a worker was lost: was an order sent, could one be sent?
@@ -106,7 +106,7 @@
     return at <= kNever ? std::string("never") : std::to_string(static_cast<long>((now - at).count()));
   };
   const Record& record = records_[worker];
-  const double left = std::min(order_budget_.left(now), kMostOrdersLogged);
+  const double left = std::min(order_budget_.left(now), kMaxOrdersLogged);
   actions_.emit(action::Log{"worker.lease_lost worker=" + workers_[worker].worker +
                             " accepted_ms=" + age(lease_.accepted_at(worker)) +
                             " sent_ms=" + age(record.sent_at) + " ordered_ms=" + age(record.ordered_at) +
@@ -114,21 +114,23 @@
                             " kept=" + std::to_string(kept_.size())});
 }
 
-std::size_t LeaseRenewal::wanted(Millis now) const {
-  const double rate = requests_ * decay(now, requests_at_, kRateMemory) / kRateMemory.count();
-  const double useful = std::max(0.0, lease_.length().count() - times_.mean_run());
+std::size_t LeaseRenewal::target_kept_count(Millis now) const {
+  const double rate =
+      recent_requests_ * decay(now, requests_at_, kRateTimeConstant) / kRateTimeConstant.count();
+  const double useful = std::max(0.0, lease_.duration().count() - times_.mean_run());
   return std::max<std::size_t>(1, static_cast<std::size_t>(rate * useful / kRequestsPerLease));
 }
 
 bool LeaseRenewal::may_keep(WorkerIndex worker, Millis now) const {
-  return lease_.has_lease(worker, now) && !lease_.is_doubted(worker) && outliers_.is_healthy(worker, now);
+  return lease_.has_lease(worker, now) && !lease_.has_rejected_work(worker) &&
+         outliers_.is_healthy(worker, now);
 }
 
 // Those that accepted something last; a kept one that is unhealthy is renewed, but counts for nothing.
-void LeaseRenewal::choose(Millis now) {
+void LeaseRenewal::choose_kept_workers(Millis now) {
   const auto is_healthy = [&](WorkerIndex worker) { return outliers_.is_healthy(worker, now); };
   auto healthy = static_cast<std::size_t>(std::count_if(kept_.begin(), kept_.end(), is_healthy));
-  const std::size_t most = wanted(now);
+  const std::size_t most = target_kept_count(now);
   while (healthy < most) {
     const Worker* best = nullptr;
     for (const Worker& worker : workers_.all()) {
@@ -138,20 +140,20 @@
       if (later) best = &worker;
     }
     if (best == nullptr) return;
-    lease_.keep(best->index, true);
+    lease_.set_kept(best->index, true);
     kept_.push_back(best->index);
     ++healthy;
   }
 }
 
 void LeaseRenewal::renew(WorkerIndex worker, double reserved, Millis now) {
-  const Millis due = lease_.vouched_until(worker) + renewal_age(now);
-  const bool is_due = lease_.is_doubted(worker) || now >= due;
-  if (!is_due) wake_at(due, now);
+  const Millis due = lease_.lease_start(worker) + renewal_age(now);
+  const bool is_due = lease_.has_rejected_work(worker) || now >= due;
+  if (!is_due) set_timer(due, now);
   Record& record = records_[worker];
-  if (!settings_.load_orders || !is_due || now - record.order_at <= kOrderAnswer) return;
+  if (!settings_.load_orders || !is_due || now - record.order_at <= kOrderAnswerTimeout) return;
   if (order_budget_.left(now) < 1 + reserved) return;
-  const Function* function = standing_function(worker, now);
+  const Function* function = loaded_function(worker, now);
   if (function == nullptr) return;
   record.order_at = record.ordered_at = now;
   record.order_function = function->id;
@@ -160,12 +162,12 @@
   actions_.emit(action::Load{workers_[worker].worker, function->id, 1});
 }
 
-const Function* LeaseRenewal::standing_function(WorkerIndex worker, Millis now) const {
+const Function* LeaseRenewal::loaded_function(WorkerIndex worker, Millis now) const {
   Function* function = functions_.find(lease_.accepted_function(worker));
   if (function == nullptr) return nullptr;
   const Instance* instance = function->find_instance(worker);
-  const bool stands = instance != nullptr && instance->confirmed && functions_.is_warm(*instance, now);
-  return stands ? function : nullptr;
+  const bool is_loaded = instance != nullptr && instance->confirmed && functions_.is_warm(*instance, now);
+  return is_loaded ? function : nullptr;
 }
 
 void LeaseRenewal::order_ended(WorkerIndex worker, const event::LoadEnded& order, Millis now) {
@@ -173,23 +175,23 @@
   if (record.order_at <= kNever || record.order_function != order.function) return;
   if (order.outcome == Outcome::not_sent) order_budget_.order_not_sent(record.order_at);
   // It had room for what stood there.
-  if (order.outcome == Outcome::full) lease_.end(worker);
+  if (order.outcome == Outcome::full) lease_.revoke(worker);
   record.order_at = kNever;
   update(now);
 }
 
-bool LeaseRenewal::delays(const Request& request, std::size_t queued, Millis now) {
+bool LeaseRenewal::should_delay(const Request& request, std::size_t queued, Millis now) {
   if (kept_.size() != 1) return false;
-  const double left = share_left(now);
-  if (left >= kBudgetRunsShort) return false;
-  if (queued > (left < kBudgetRunsVeryShort ? kMostDelayedVeryShort : kMostDelayed)) return false;
-  const Millis to_objective = (request.objective_at - request.arrived_at) * kLongestDelayShare;
-  if (now - request.arrived_at >= std::min(kLongestDelay, to_objective)) return false;
+  const double left = budget_share_left(now);
+  if (left >= kLowBudgetShare) return false;
+  if (queued > (left < kVeryLowBudgetShare ? kMaxDelayedRequestsVeryLow : kMaxDelayedRequests)) return false;
+  const Millis to_objective = (request.objective_at - request.arrived_at) * kMaxDelayShare;
+  if (now - request.arrived_at >= std::min(kMaxDelay, to_objective)) return false;
   const WorkerIndex worker = kept_.front();
-  const Millis last = std::max(lease_.vouched_until(worker), records_[worker].sent_at);
-  const Millis needed_at = last + renewal_age(now) - Millis(times_.mean_run() * kSlowRun);
+  const Millis last = std::max(lease_.lease_start(worker), records_[worker].sent_at);
+  const Millis needed_at = last + renewal_age(now) - Millis(times_.mean_run() * kSlowRunFactor);
   if (now >= needed_at) return false;
-  wake_at(needed_at, now);
+  set_timer(needed_at, now);
   return true;
 }
 
--- a/src/policy/lease_renewal.h
+++ b/src/policy/lease_renewal.h
@@ -58,11 +58,11 @@
 
   /// The request is to wait for a moment, as its answer will be needed to renew the lease. `queued`: all
   /// requests that are queued.
-  bool delays(const Request& request, std::size_t queued, Millis now);
+  bool should_delay(const Request& request, std::size_t queued, Millis now);
 
   /// Orders sent to renew a lease.
   std::size_t orders_sent() const { return orders_sent_; }
-  std::size_t kept() const { return kept_.size(); }
+  std::size_t kept_count() const { return kept_.size(); }
 
  private:
   struct Record {
@@ -82,23 +82,23 @@
   ActionSink& actions_;
   std::vector<Record> records_;    // by WorkerIndex
   std::vector<WorkerIndex> kept_;  // the first one is renewed first
-  double requests_ = 0;            // of late, decaying since requests_at_
+  double recent_requests_ = 0;     // of late, decaying since requests_at_
   Millis requests_at_{kNever};
   std::size_t orders_sent_ = 0;
   Millis timer_at_{kNever};  // the last timer set
 
-  double share_left(Millis now) const;
+  double budget_share_left(Millis now) const;
   Millis renewal_age(Millis now) const;
-  void wake_at(Millis at, Millis now);
+  void set_timer(Millis at, Millis now);
   bool is_due(Millis now) const;
   void release_all();
-  void drop_lost(Millis now);
+  void drop_expired(Millis now);
   void log_lost(WorkerIndex worker, Millis now) const;
-  void choose(Millis now);
-  std::size_t wanted(Millis now) const;
+  void choose_kept_workers(Millis now);
+  std::size_t target_kept_count(Millis now) const;
   bool may_keep(WorkerIndex worker, Millis now) const;
   void renew(WorkerIndex worker, double reserved, Millis now);
-  const Function* standing_function(WorkerIndex worker, Millis now) const;
+  const Function* loaded_function(WorkerIndex worker, Millis now) const;
 };
 
 }  // namespace pathstack::policy
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -7,13 +7,15 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kReportPace{1000};          // reports of a worker are refreshed about as often
-constexpr Millis kGossipPaceWithProbes{60};  // as many reports come as there are workers
-constexpr double kInvokersToNotify = 30;     // where answers bring reports, so many invokers notify in a pace
-constexpr double kMostWaiting = 1000;
-constexpr double kPeerCallsGain = 0.002;  // hundreds of invokers notify, some far busier than others
-constexpr double kNoOutlier = 1e9;
-constexpr double kLeastShare = 0.1;  // a nearly idle invoker knows too little of the mix to be scaled up more
+constexpr Millis kReportInterval{1000};          // reports of a worker are refreshed about as often
+constexpr Millis kGossipIntervalWithProbes{60};  // as many reports come as there are workers
+constexpr double kNotifiersPerInterval =
+    30;  // where answers bring reports, so many invokers notify in a pace
+constexpr double kMaxWaiting = 1000;
+constexpr double kPeerRequestsGain = 0.002;  // hundreds of invokers notify, some far busier than others
+constexpr double kNoOutlierLimit = 1e9;
+constexpr double kMinRelativeDemand =
+    0.1;  // a nearly idle invoker knows too little of the mix to be scaled up more
 
 }  // namespace
 
@@ -38,14 +40,14 @@
   for (std::size_t i = 0; i < fields; ++i) {
     const ReportField field = settings_.report_fields[i];
     const double value = (*report)[i];
-    if (field == ReportField::utilisation) slow_start_.record_core_use(worker, value, now);
+    if (field == ReportField::utilisation) slow_start_.record_utilisation(worker, value, now);
     // Requests in service are taken off; where there is a figure of the queue itself, it is the better one.
     const bool is_queue = field == ReportField::queue;
     if (!is_queue && (reports_queue_ || field != ReportField::inflight)) continue;
-    const double waiting = value - (is_queue ? 0 : kInService);
-    record.waiting = std::min(std::max(waiting, 0.0), kMostWaiting);
+    const double waiting = value - (is_queue ? 0 : kAssumedInService);
+    record.waiting = std::min(std::max(waiting, 0.0), kMaxWaiting);
     record.reported_at = now;
-    record.passed_on = false;
+    record.gossiped = false;
   }
 }
 
@@ -54,63 +56,66 @@
   record.waiting = waiting;
   record.reported_at = now;
   record.peer_reported_at = now;
-  record.passed_on = true;
+  record.gossiped = true;
 }
 
-void LoadReports::record_peer_calls(double calls) { peer_calls_.add(calls, kPeerCallsGain, kNoOutlier); }
+void LoadReports::record_peer_requests(double requests) {
+  peer_requests_.add(requests, kPeerRequestsGain, kNoOutlierLimit);
+}
 
 void LoadReports::request_arrived(Millis now) {
-  own_calls_ = 1 + own_calls(now);
-  own_calls_at_ = now;
+  own_requests_ = 1 + own_requests(now);
+  own_requests_at_ = now;
 }
 
-double LoadReports::own_calls(Millis now) const {
-  return own_calls_ * decay(now, own_calls_at_, kDemandTimeConstant);
+double LoadReports::own_requests(Millis now) const {
+  return own_requests_ * decay(now, own_requests_at_, kDemandTimeConstant);
 }
 
-double LoadReports::own_share(Millis now) const {
-  if (!peer_calls_.known()) return 1;
-  return std::max(own_calls(now) / std::max(peer_calls_.value, 0.1), kLeastShare);
+double LoadReports::relative_demand(Millis now) const {
+  if (!peer_requests_.known()) return 1;
+  return std::max(own_requests(now) / std::max(peer_requests_.value, 0.1), kMinRelativeDemand);
 }
 
 void LoadReports::exchange(Millis now) {
   if (!settings_.peer_messages || settings_.invokers < 2) return;
-  if (learns_by_probes()) send_probes(now);
+  if (uses_probe_reports()) send_probes(now);
   send_gossip(now);
 }
 
-bool LoadReports::is_own_to_probe(const Worker& worker) const {
+bool LoadReports::is_assigned_to_probe(const Worker& worker) const {
   const auto invokers = static_cast<std::uint64_t>(settings_.invokers);
   const auto rank = static_cast<std::uint64_t>(settings_.rank);
   return worker.hash % invokers == rank || (worker.hash >> 32) % invokers == rank;
 }
 
 void LoadReports::send_probes(Millis now) {
-  const Millis half_pace = kReportPace / 2;
+  const Millis half_interval = kReportInterval / 2;
   for (const Worker& worker : workers_.all()) {
-    if (!is_own_to_probe(worker) || worker.state != WorkerState::ready) continue;
+    if (!is_assigned_to_probe(worker) || worker.state != WorkerState::ready) continue;
     Record& record = records_[worker.index];
-    if (now - std::max(record.probed_at + half_pace, record.reported_at) < half_pace) continue;
+    if (now - std::max(record.probed_at + half_interval, record.reported_at) < half_interval) continue;
     record.probed_at = now;
     actions_.emit(action::Probe{worker.worker});
   }
 }
 
 void LoadReports::send_gossip(Millis now) {
-  const Millis pace =
-      learns_by_probes() ? kGossipPaceWithProbes : kReportPace * (settings_.invokers / kInvokersToNotify);
-  if (now - gossiped_at_ < pace) return;
-  const Millis half_pace = kReportPace / 2;
+  const Millis interval = uses_probe_reports()
+                              ? kGossipIntervalWithProbes
+                              : kReportInterval * (settings_.invokers / kNotifiersPerInterval);
+  if (now - gossiped_at_ < interval) return;
+  const Millis half_interval = kReportInterval / 2;
   GossipMessage message;
-  message.add_own_calls(own_calls(now));
+  message.add_own_requests(own_requests(now));
   for (const Worker& worker : workers_.all()) {
     Record& record = records_[worker.index];
-    if (record.passed_on || now - record.reported_at > half_pace) continue;
-    if (now - record.peer_reported_at < half_pace) continue;
-    record.passed_on = true;
+    if (record.gossiped || now - record.reported_at > half_interval) continue;
+    if (now - record.peer_reported_at < half_interval) continue;
+    record.gossiped = true;
     if (message.has_space()) message.add_worker_load(worker.hash, record.waiting);
   }
-  if (!message.tells_of_workers()) return;
+  if (!message.has_worker_records()) return;
   gossiped_at_ = now;
   actions_.emit(action::SendPeerMessage{std::nullopt, message.text()});
 }
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -11,7 +11,7 @@
 namespace pathstack::policy {
 
 /// Requests that a worker serves at once, about: more of them wait.
-inline constexpr double kInService = 4;
+inline constexpr double kAssumedInService = 4;
 
 /// Load of workers and of the other invokers.
 ///
@@ -31,17 +31,17 @@
   void record(WorkerIndex worker, const Report& report, Millis now);
   /// `waiting` as a peer has it.
   void record_gossip(WorkerIndex worker, double waiting, Millis now);
-  void record_peer_calls(double calls);
+  void record_peer_requests(double requests);
   void request_arrived(Millis now);
 
   /// What was reported is no longer true.
-  void forget(WorkerIndex worker) { records_[worker].reported_at = kNever; }
+  void invalidate(WorkerIndex worker) { records_[worker].reported_at = kNever; }
   /// Requests that wait at the worker beyond those in service; see reported_at.
   double waiting(WorkerIndex worker) const { return records_[worker].waiting; }
   Millis reported_at(WorkerIndex worker) const { return records_[worker].reported_at; }
 
   /// Own recent requests over those of the mean invoker; 1 as long as nothing was received from peers.
-  double own_share(Millis now) const;
+  double relative_demand(Millis now) const;
 
   /// Probes and gossip that are due.
   void exchange(Millis now);
@@ -52,7 +52,7 @@
     Millis reported_at{kNever};
     Millis peer_reported_at{kNever};
     Millis probed_at{kNever};
-    bool passed_on = true;  // nothing new to notify peers of
+    bool gossiped = true;  // nothing new to notify peers of
   };
 
   const Settings& settings_;
@@ -61,14 +61,14 @@
   ActionSink& actions_;
   const bool reports_queue_;
   std::vector<Record> records_;  // by WorkerIndex
-  Average peer_calls_;
-  double own_calls_ = 0;  // of late, decaying since own_calls_at_
-  Millis own_calls_at_{kNever};
+  Average peer_requests_;
+  double own_requests_ = 0;  // of late, decaying since own_requests_at_
+  Millis own_requests_at_{kNever};
   Millis gossiped_at_{kNever};
 
-  double own_calls(Millis now) const;
-  bool learns_by_probes() const { return settings_.reports == ReportMode::probe && settings_.probes; }
-  bool is_own_to_probe(const Worker& worker) const;
+  double own_requests(Millis now) const;
+  bool uses_probe_reports() const { return settings_.reports == ReportMode::probe && settings_.probes; }
+  bool is_assigned_to_probe(const Worker& worker) const;
   void send_probes(Millis now);
   void send_gossip(Millis now);
 };
--- a/src/policy/membership_lease.cpp
+++ b/src/policy/membership_lease.cpp
@@ -9,10 +9,11 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kAnswerTimeout{100};    // a probe unanswered for so long: other workers are tried
-constexpr Millis kAskAgain{1000};        // the pace of probes at a worker that answers none
-constexpr Millis kNotWellFor{1000};      // a drain lasts seconds; a worker that recovers is asked again
-constexpr Millis kUnreachableFor{1000};  // after a probe that could not be delivered
+constexpr Millis kProbeAnswerTimeout{100};  // a probe unanswered for so long: other workers are tried
+constexpr Millis kProbeInterval{1000};      // the pace of probes at a worker that answers none
+constexpr Millis kUnhealthyWithholdTime{
+    1000};  // a drain lasts seconds; a worker that recovers is asked again
+constexpr Millis kUnreachableWithholdTime{1000};  // after a probe that could not be delivered
 
 }  // namespace
 
@@ -20,7 +21,7 @@
     : settings_(settings),
       workers_(workers),
       actions_(actions),
-      lease_(lease_on_worker(settings.drain_grace, settings.probes)) {}
+      duration_(lease_on_worker(settings.drain_grace, settings.probes)) {}
 
 void MembershipLease::reset(WorkerIndex worker) {
   if (records_.size() <= worker) records_.resize(worker + 1);
@@ -29,15 +30,15 @@
 
 bool MembershipLease::is_confirmed(WorkerIndex worker, Millis now) const {
   if (is_list_current(now)) return true;
-  return has_lease(worker, now) && !is_doubted(worker);
+  return has_lease(worker, now) && !has_rejected_work(worker);
 }
 
 bool MembershipLease::has_lease(WorkerIndex worker, Millis now) const {
-  return is_list_current(now) || now - vouched_until(worker) <= lease_;
+  return is_list_current(now) || now - lease_start(worker) <= duration_;
 }
 
 // One that drained before the list ceased to be current has accepted nothing since.
-Millis MembershipLease::vouched_until(WorkerIndex worker) const {
+Millis MembershipLease::lease_start(WorkerIndex worker) const {
   const Millis accepted_at = records_[worker].accepted_at;
   return accepted_at < list_.until ? accepted_at : std::max(accepted_at, list_.later_changes_from);
 }
@@ -48,53 +49,54 @@
   if (now < record.withheld_until) return false;
   if (!settings_.probes) return record.kept && is_confirmed(worker, now);
   if (is_confirmed(worker, now)) return true;
-  const Millis unanswered_for = now - record.asked_at;
-  return unanswered_for <= kAnswerTimeout || unanswered_for > kAskAgain;
+  const Millis unanswered_for = now - record.probe_sent_at;
+  return unanswered_for <= kProbeAnswerTimeout || unanswered_for > kProbeInterval;
 }
 
-void MembershipLease::ask(WorkerIndex worker, Millis now) {
+void MembershipLease::send_probe(WorkerIndex worker, Millis now) {
   Record& record = records_[worker];
-  if (!settings_.probes || now - record.asked_at <= kAskAgain) return;
-  record.asked_at = now;
-  ++asked_;
+  if (!settings_.probes || now - record.probe_sent_at <= kProbeInterval) return;
+  record.probe_sent_at = now;
+  ++probes_sent_;
   actions_.emit(action::Probe{workers_[worker].worker});
 }
 
-void MembershipLease::accepted(WorkerIndex worker, std::uint64_t function, Millis sent_at) {
+void MembershipLease::work_accepted(WorkerIndex worker, std::uint64_t function, Millis sent_at) {
   records_[worker].accepted_function = function;
-  accepted(worker, sent_at);
+  record_accepted(worker, sent_at);
 }
 
-void MembershipLease::accepted(WorkerIndex worker, Millis sent_at) {
+void MembershipLease::record_accepted(WorkerIndex worker, Millis sent_at) {
   Record& record = records_[worker];
   record.accepted_at = std::max(record.accepted_at, sent_at);
 }
 
-MembershipLease::Word MembershipLease::probe_ended(WorkerIndex worker, const event::ProbeEnded& probe,
-                                                   Millis now) {
+MembershipLease::ProbeVerdict MembershipLease::probe_ended(WorkerIndex worker, const event::ProbeEnded& probe,
+                                                           Millis now) {
   Record& record = records_[worker];
-  record.asked_at = kNever;
+  record.probe_sent_at = kNever;
   const bool stale = !is_list_current(now);
   if (probe.outcome == Outcome::ok) {
-    const bool was_not_well = std::exchange(record.was_not_well, false);
+    const bool was_unhealthy = std::exchange(record.was_unhealthy, false);
     record.withheld_until = kNever;
-    accepted(worker, now - probe.elapsed);
-    if (!stale) return Word::none;
-    return was_not_well ? Word::well_again : Word::well;
+    record_accepted(worker, now - probe.elapsed);
+    if (!stale) return ProbeVerdict::none;
+    return was_unhealthy ? ProbeVerdict::recovered : ProbeVerdict::healthy;
   }
   record.accepted_at = kNever;
-  if (!stale) return Word::none;
-  if (probe.outcome == Outcome::error) return deny(worker, now);
+  if (!stale) return ProbeVerdict::none;
+  if (probe.outcome == Outcome::error) return withhold_unhealthy(worker, now);
   const bool local = probe.outcome == Outcome::not_sent;
-  withhold(worker, now + (local ? kLocalFaultBackoff : kUnreachableFor), local ? "not_sent" : "unreachable");
-  return Word::none;
+  withhold(worker, now + (local ? kLocalFaultBackoff : kUnreachableWithholdTime),
+           local ? "not_sent" : "unreachable");
+  return ProbeVerdict::none;
 }
 
-MembershipLease::Word MembershipLease::deny(WorkerIndex worker, Millis now) {
-  records_[worker].was_not_well = true;
-  ++denied_;
-  withhold(worker, now + kNotWellFor, "not_well");
-  return Word::not_well;
+MembershipLease::ProbeVerdict MembershipLease::withhold_unhealthy(WorkerIndex worker, Millis now) {
+  records_[worker].was_unhealthy = true;
+  ++unhealthy_answers_;
+  withhold(worker, now + kUnhealthyWithholdTime, "not_well");
+  return ProbeVerdict::unhealthy;
 }
 
 void MembershipLease::withhold(WorkerIndex worker, Millis until, const char* reason) {
@@ -102,7 +104,7 @@
   actions_.emit(action::Log{"worker.withheld worker=" + workers_[worker].worker + " reason=" + reason});
 }
 
-std::size_t MembershipLease::withheld(Millis now) const {
+std::size_t MembershipLease::withheld_count(Millis now) const {
   const auto is_withheld = [&](const Worker& worker) {
     return worker.state == WorkerState::ready && !is_candidate(worker.index, now);
   };
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -50,7 +50,7 @@
       actions_(actions) {}
 
 void OutcomeRecorder::note_alive(WorkerIndex worker, Millis now) {
-  if (outliers_.note_alive(worker, now)) slow_start_.returned(worker, now);
+  if (outliers_.note_alive(worker, now)) slow_start_.worker_recovered(worker, now);
 }
 
 void OutcomeRecorder::record_attempt(Request& request, const Attempt& attempt,
@@ -59,7 +59,7 @@
   Instance& instance = request.function->instance_at(worker);
   workers_.attempt_ended(worker, attempt.confirmed);
   instance.in_flight = std::max(0, instance.in_flight - 1);
-  if (is_heard_from(answer.outcome)) workers_.heard_from(worker, now);
+  if (is_heard_from(answer.outcome)) workers_.record_activity(worker, now);
   if (is_answer_of_worker(answer.outcome)) note_alive(worker, now);
   if (answer.outcome == Outcome::not_sent) return take_back(request, attempt, instance, now);
   reports_.record(worker, answer.report, now);
@@ -86,7 +86,7 @@
       request.function->missed = true;
       if (!settings_.rejects_on_miss) record_useless(request, attempt, answer, now);
       return;
-    case Outcome::full: lease_.turned_away(worker, now); return limits_.record_full(worker, now);
+    case Outcome::full: lease_.work_rejected(worker, now); return limits_.record_full(worker, now);
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset:
       if (!attempt.taken_as_lost) outliers_.record_lost_answers(worker, request.class_index, now);
@@ -103,7 +103,7 @@
 
 void OutcomeRecorder::record_success(const Request& request, const Attempt& attempt, Instance& instance,
                                      const event::AttemptEnded& answer, Millis now) {
-  lease_.accepted(attempt.worker, request.function->id, attempt.sent_at);
+  lease_.work_accepted(attempt.worker, request.function->id, attempt.sent_at);
   record_times(request, attempt, answer, now);
   outliers_.record_success(attempt.worker, request.class_index, now);
   request.function->missed = false;
@@ -184,9 +184,9 @@
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
     if (order.instances > 0) function.missed = false;
   }
-  if (order.outcome == Outcome::full) lease_.turned_away(worker, now);
+  if (order.outcome == Outcome::full) lease_.work_rejected(worker, now);
   const bool stands = order.outcome == Outcome::ok && order.instances > 0;
-  if (stands) lease_.accepted(worker, function.id, now - order.elapsed);
+  if (stands) lease_.work_accepted(worker, function.id, now - order.elapsed);
   switch (order.outcome) {
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset: return outliers_.connection_failed(worker, true, now);
@@ -201,9 +201,9 @@
 
 void OutcomeRecorder::record_probe(WorkerIndex worker, const event::ProbeEnded& probe, Millis now) {
   // A worker that drains says so: it runs, and is no outlier.
-  const MembershipLease::Word word = lease_.probe_ended(worker, probe, now);
-  if (word == MembershipLease::Word::not_well) return note_alive(worker, now);
-  if (word == MembershipLease::Word::well_again) process_replaced(worker, now);
+  const MembershipLease::ProbeVerdict word = lease_.probe_ended(worker, probe, now);
+  if (word == MembershipLease::ProbeVerdict::unhealthy) return note_alive(worker, now);
+  if (word == MembershipLease::ProbeVerdict::recovered) process_replaced(worker, now);
   if (probe.outcome != Outcome::ok) return outliers_.probe_failed(worker, probe.outcome, now);
   outliers_.probe_answered(worker);
   note_alive(worker, now);
@@ -212,14 +212,14 @@
 
 void OutcomeRecorder::record_connections_lost(WorkerIndex worker, Millis now) {
   if (lease_.is_list_current(now)) return;
-  lease_.end(worker);
+  lease_.revoke(worker);
   process_replaced(worker, now);
 }
 
 // The list would tell of a restart, which counts as told though it cannot be received.
 void OutcomeRecorder::process_replaced(WorkerIndex worker, Millis now) {
   functions_.forget_instances(worker);
-  slow_start_.returned(worker, now);
+  slow_start_.worker_recovered(worker, now);
 }
 
 void OutcomeRecorder::find_unanswered(Millis now) {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -8,15 +8,15 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kFirstEjection{1000};      // doubles with each relapse
+constexpr Millis kInitialEjection{1000};    // doubles with each relapse
 constexpr Millis kFastErrorEjection{4000};  // first ejection after an error faster than a run
-constexpr Millis kLongestEjection{8000};    // faults last tens of seconds
+constexpr Millis kMaxEjection{8000};        // faults last tens of seconds
 constexpr double kErrorGain = 0.4;          // of a class's failures at one worker: two in a row eject it
 constexpr double kClassErrorGain = 0.05;    // of a class's failures at any worker
 constexpr double kErrorThreshold = 0.5;     // share of failures that ejects, over half the class's share
-constexpr Millis kOneLoss{20};              // answers lost within this were lost together
-constexpr int kProbesLost = 3;              // so many lost probes on end, and no answer, count as a loss
-constexpr Millis kAliveFor{1000};           // a worker that answered in this time runs
+constexpr Millis kLossWindow{20};           // answers lost within this were lost together
+constexpr int kMaxProbesLost = 3;           // so many lost probes on end, and no answer, count as a loss
+constexpr Millis kAliveWindow{1000};        // a worker that answered in this time runs
 
 }  // namespace
 
@@ -29,7 +29,7 @@
       times_(times),
       functions_(functions),
       actions_(actions),
-      class_errors_(settings.classes.size() + 1, 0.0) {}
+      class_error_rates_(settings.classes.size() + 1, 0.0) {}
 
 void OutlierDetector::reset(WorkerIndex worker) {
   if (records_.size() <= worker) records_.resize(worker + 1);
@@ -39,7 +39,7 @@
 
 void OutlierDetector::restarted(WorkerIndex worker) {
   Record& record = records_[worker];
-  record.whole = Health();
+  record.overall = Health();
   record.classes.assign(record.classes.size(), Health());
   record.down = false;
 }
@@ -57,7 +57,7 @@
   const Worker& worker = workers_[index];
   if (worker.state != WorkerState::ready) return false;
   const Record& record = records_[index];
-  if (!admits(record.whole, worker, now) || is_silent(index, now)) return false;
+  if (!admits(record.overall, worker, now) || is_silent(index, now)) return false;
   return now - record.suspect_since > kMinStallTime;
 }
 
@@ -70,51 +70,51 @@
   if (worker.in_flight == 0) return false;
   const bool all_may_wait_for_loads = worker.in_flight <= worker.unconfirmed_in_flight;
   const Millis load = all_may_wait_for_loads ? times_.load_timeout(times_.mean_load()) : Millis(0);
-  return now - worker.heard_at > times_.run_timeout(times_.mean_run()) + load;
+  return now - worker.last_activity_at > times_.run_timeout(times_.mean_run()) + load;
 }
 
-bool OutlierDetector::has_answered_lately(const Record& record, Millis now) {
-  return now - record.answered_at < kAliveFor;
+bool OutlierDetector::has_answered_recently(const Record& record, Millis now) {
+  return now - record.answered_at < kAliveWindow;
 }
 
-void OutlierDetector::judge(WorkerIndex worker, int class_index, bool failed, Millis now) {
+void OutlierDetector::record_outcome(WorkerIndex worker, int class_index, bool failed, Millis now) {
   Health& health = records_[worker].classes[class_slot(class_index)];
-  double& usual = class_errors_[class_slot(class_index)];
-  health.errors += kErrorGain * (failed - health.errors);
-  usual += kClassErrorGain * (failed - usual);
+  double& class_error_rate = class_error_rates_[class_slot(class_index)];
+  health.error_rate += kErrorGain * (failed - health.error_rate);
+  class_error_rate += kClassErrorGain * (failed - class_error_rate);
   if (!failed && now >= health.ejected_until) health.half_open = false;
   const bool relapsed = failed && health.half_open;
-  const bool fails_more_than_usual = failed && health.errors > kErrorThreshold + usual / 2;
-  if (relapsed || fails_more_than_usual) eject(health, kFirstEjection, now);
+  const bool fails_more_than_class = failed && health.error_rate > kErrorThreshold + class_error_rate / 2;
+  if (relapsed || fails_more_than_class) eject(health, kInitialEjection, now);
 }
 
 void OutlierDetector::record_lost_answers(WorkerIndex worker, int class_index, Millis now) {
   Record& record = records_[worker];
-  if (now - record.answers_lost_at <= kOneLoss) return;
+  if (now - record.answers_lost_at <= kLossWindow) return;
   record.answers_lost_at = now;
   record_failure(worker, class_index, now);
 }
 
 void OutlierDetector::record_success(WorkerIndex worker, int class_index, Millis now) {
-  judge(worker, class_index, false, now);
-  Health& whole = records_[worker].whole;
-  if (now >= whole.ejected_until) whole.half_open = false;
+  record_outcome(worker, class_index, false, now);
+  Health& overall = records_[worker].overall;
+  if (now >= overall.ejected_until) overall.half_open = false;
 }
 
 void OutlierDetector::record_failure(WorkerIndex worker, int class_index, Millis now) {
-  judge(worker, class_index, true, now);
+  record_outcome(worker, class_index, true, now);
 }
 
 void OutlierDetector::eject(Health& health, Millis first, Millis now) {
   if (now < health.ejected_until) return;
-  health.ejection = health.half_open ? std::min(health.ejection * 2, kLongestEjection) : first;
+  health.ejection = health.half_open ? std::min(health.ejection * 2, kMaxEjection) : first;
   health.ejected_until = now + health.ejection;
   health.half_open = true;
-  health.errors = 0;
+  health.error_rate = 0;
 }
 
 void OutlierDetector::eject(WorkerIndex worker, Millis now) {
-  eject(records_[worker].whole, kFirstEjection, now);
+  eject(records_[worker].overall, kInitialEjection, now);
 }
 
 void OutlierDetector::eject_class_for_fast_error(WorkerIndex worker, int class_index, Millis now) {
@@ -142,7 +142,7 @@
 }
 
 void OutlierDetector::mark_unreachable(WorkerIndex worker, bool died, Millis now) {
-  if (died || !has_answered_lately(records_[worker], now)) {
+  if (died || !has_answered_recently(records_[worker], now)) {
     mark_down(worker);
     gossip_down(worker, now);
   }
@@ -157,7 +157,8 @@
 
 void OutlierDetector::gossip_down(WorkerIndex worker, Millis now) {
   Record& record = records_[worker];
-  if (!settings_.peer_messages || settings_.invokers < 2 || now - record.gossiped_down_at < kAliveFor) return;
+  if (!settings_.peer_messages || settings_.invokers < 2 || now - record.gossiped_down_at < kAliveWindow)
+    return;
   record.gossiped_down_at = now;
   actions_.emit(action::SendPeerMessage{std::nullopt, GossipMessage::worker_down(workers_[worker].hash)});
 }
@@ -182,11 +183,11 @@
   }
   if (suspect && outcome != Outcome::timeout) {
     if (answered_since) return;
-    if (++record.probes_lost < kProbesLost) return send_probe(worker, now);
+    if (++record.probes_lost < kMaxProbesLost) return send_probe(worker, now);
     return mark_unreachable(worker, record.suspect_by_reset, now);
   }
   if (outcome == Outcome::unreachable) return network_unreachable(worker, now);
-  if (has_answered_lately(record, now)) return;
+  if (has_answered_recently(record, now)) return;
   mark_down(worker);
   gossip_down(worker, now);
 }
@@ -194,7 +195,7 @@
 void OutlierDetector::peer_reported_down(WorkerIndex worker, Millis now) {
   Record& record = records_[worker];
   record.gossiped_down_at = now;
-  if (!has_answered_lately(record, now)) mark_down(worker);
+  if (!has_answered_recently(record, now)) mark_down(worker);
 }
 
 void OutlierDetector::repeat_probes(Millis now) {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -76,13 +76,13 @@
 
  private:
   struct Health {  // of one class at one worker, or of the worker as a whole
-    double errors = 0;
+    double error_rate = 0;
     Millis ejected_until{kNever};
     Millis ejection{0};
     bool half_open = false;
   };
   struct Record {
-    Health whole;
+    Health overall;
     std::vector<Health> classes;  // by class_slot
     Millis answers_lost_at{kNever};
     bool down = false;  // seen to be down, not yet seen to be back
@@ -104,12 +104,12 @@
   FunctionTable& functions_;
   ActionSink& actions_;
   std::vector<Record> records_;                 // by WorkerIndex
-  std::vector<double> class_errors_;            // by class_slot: share that failed of late, at any worker
+  std::vector<double> class_error_rates_;       // by class_slot: share that failed of late, at any worker
   std::deque<ProbeToRepeat> probes_to_repeat_;  // in order of time
 
   static bool admits(const Health& health, const Worker& worker, Millis now);
-  static bool has_answered_lately(const Record& record, Millis now);
-  void judge(WorkerIndex worker, int class_index, bool failed, Millis now);
+  static bool has_answered_recently(const Record& record, Millis now);
+  void record_outcome(WorkerIndex worker, int class_index, bool failed, Millis now);
   static void eject(Health& health, Millis first, Millis now);
   void send_probe(WorkerIndex worker, Millis now);
   void mark_unreachable(WorkerIndex worker, bool died, Millis now);
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -26,7 +26,7 @@
 
 int Placement::replicas_for(const Function& function, Millis now) const {
   const double each = std::min(kRequestsPerReplica, function.slots / 2.0);
-  const double fleet_demand = demand(function, now) * settings_.invokers / reports_.own_share(now);
+  const double fleet_demand = demand(function, now) * settings_.invokers / reports_.relative_demand(now);
   return 1 + static_cast<int>(std::min(kMostReplicas, fleet_demand / each));
 }
 
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -92,17 +92,17 @@
     Instance* instance = selector_.warm_instance(function, *next, now);
     if (instance == nullptr) return Blocked::no_instance;
     if (!lease_.is_confirmed(instance->worker, now)) {
-      lease_.ask(instance->worker, now);
+      lease_.send_probe(instance->worker, now);
       return Blocked::worker_unconfirmed;
     }
-    if (renewal_.delays(*next, requests_.queued(), now)) return Blocked::delayed;
+    if (renewal_.should_delay(*next, requests_.queued(), now)) return Blocked::delayed;
     send(*next, *instance, now);
   }
   return Blocked::queue_is_empty;
 }
 
 void Scheduler::start_load(Function& function, WorkerIndex worker, Millis now) {
-  if (!lease_.is_confirmed(worker, now)) return lease_.ask(worker, now);
+  if (!lease_.is_confirmed(worker, now)) return lease_.send_probe(worker, now);
   Instance& instance = function.instance_at(worker);
   if (instance.loading > 0) return;
   Request& next = *admission_.next_in_queue(function, now);
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,13 +5,14 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kServedMemory{4000};  // some windows of the rule
-constexpr Millis kCoreUsePace{5000};   // pace of probes while a budget keeps requests from a warming worker
-constexpr double kCoreUseGain = 0.3;   // samples are few
-constexpr double kNoOutlier = 1e9;
-constexpr double kLeastCoreUse = 0.25;  // less is taken as this: samples are few and noisy
-constexpr double kBudgetPart = 0.6;     // part of the budget that is used: chance and clock slack
-constexpr double kSavedWindowPart = 5;  // a budget saves up a fifth of a window at most, or one request
+constexpr Millis kServedTimeConstant{4000};  // some windows of the rule
+constexpr Millis kUtilisationProbeInterval{
+    5000};  // pace of probes while a budget keeps requests from a warming worker
+constexpr double kUtilisationGain = 0.3;  // samples are few
+constexpr double kNoOutlierLimit = 1e9;
+constexpr double kMinUtilisation = 0.25;      // less is taken as this: samples are few and noisy
+constexpr double kBudgetShare = 0.6;          // part of the budget that is used: chance and clock slack
+constexpr double kWindowsPerSavedBudget = 5;  // a budget saves up a fifth of a window at most, or one request
 
 }  // namespace
 
@@ -24,13 +25,13 @@
   budgets_[worker] = Budget();
 }
 
-void SlowStart::returned(WorkerIndex worker, Millis now) {
-  budgets_[worker].returned_at = now;
+void SlowStart::worker_recovered(WorkerIndex worker, Millis now) {
+  budgets_[worker].recovered_at = now;
   budgets_[worker].filled_at = kNever;
 }
 
 Millis SlowStart::warming_since(WorkerIndex worker) const {
-  return std::max(workers_[worker].started_at, budgets_[worker].returned_at);
+  return std::max(workers_[worker].started_at, budgets_[worker].recovered_at);
 }
 
 bool SlowStart::is_warming_up(WorkerIndex worker, Millis now) const {
@@ -52,25 +53,25 @@
     return worker.state == WorkerState::ready && !is_warming_up(worker.index, now);
   };
   const auto warm = std::count_if(workers_.all().begin(), workers_.all().end(), is_warm);
-  const double served = served_ * decay(now, served_at_, kServedMemory) / kServedMemory.count();
+  const double served = served_ * decay(now, served_at_, kServedTimeConstant) / kServedTimeConstant.count();
   return warm > 0 && served > 0 ? served / static_cast<double>(warm) : 1.0 / settings_.invokers;
 }
 
 bool SlowStart::has_budget(WorkerIndex worker, double work, Millis now) {
   if (!is_warming_up(worker, now)) return true;
   Budget& budget = budgets_[worker];
-  const double core_use = core_use_.known() ? std::max(core_use_.value, kLeastCoreUse) : 1;
-  const double pace = kBudgetPart * settings_.cold_overload_multiple * capacity_share(worker, now) *
-                      work_rate_of_warm_worker(now) / core_use;
+  const double utilisation = utilisation_.known() ? std::max(utilisation_.value, kMinUtilisation) : 1;
+  const double pace = kBudgetShare * settings_.cold_overload_multiple * capacity_share(worker, now) *
+                      work_rate_of_warm_worker(now) / utilisation;
   if (budget.filled_at == kNever) {
     budget.tokens = work * random_.fraction();
   } else {
     budget.tokens += pace * (now - budget.filled_at).count();
   }
   budget.filled_at = now;
-  const double most = std::max(work, pace * settings_.cold_overload_window.count() / kSavedWindowPart);
+  const double most = std::max(work, pace * settings_.cold_overload_window.count() / kWindowsPerSavedBudget);
   budget.tokens = std::min(budget.tokens, most);
-  if (budget.tokens < work) sample_core_use(now);
+  if (budget.tokens < work) probe_utilisation(now);
   return budget.tokens >= work;
 }
 
@@ -81,20 +82,21 @@
 }
 
 void SlowStart::record_served(double work, Millis now) {
-  served_ = served_ * decay(now, served_at_, kServedMemory) + work;
+  served_ = served_ * decay(now, served_at_, kServedTimeConstant) + work;
   served_at_ = now;
 }
 
-void SlowStart::record_core_use(WorkerIndex worker, double use, Millis now) {
-  if (!is_warming_up(worker, now)) core_use_.add(std::max(use, 0.0), kCoreUseGain, kNoOutlier);
+void SlowStart::record_utilisation(WorkerIndex worker, double utilisation, Millis now) {
+  if (!is_warming_up(worker, now))
+    utilisation_.add(std::max(utilisation, 0.0), kUtilisationGain, kNoOutlierLimit);
 }
 
-void SlowStart::sample_core_use(Millis now) {
+void SlowStart::probe_utilisation(Millis now) {
   if (!settings_.probes || settings_.reports != ReportMode::probe) return;
-  if (now - core_use_asked_at_ < kCoreUsePace) return;
+  if (now - utilisation_probe_at_ < kUtilisationProbeInterval) return;
   const Worker& worker = workers_.all()[random_.next() % workers_.all().size()];
   if (!outliers_.is_usable(worker.index, now) || is_warming_up(worker.index, now)) return;
-  core_use_asked_at_ = now;
+  utilisation_probe_at_ = now;
   actions_.emit(action::Probe{worker.worker});
 }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -29,7 +29,7 @@
   /// A list has named another process: its budget is new, and its start is in the worker table.
   void restarted(WorkerIndex worker) { budgets_[worker].filled_at = kNever; }
   /// It was down and answers again: lists come late, so the warm-up counts from here.
-  void returned(WorkerIndex worker, Millis now);
+  void worker_recovered(WorkerIndex worker, Millis now);
 
   bool is_warming_up(WorkerIndex worker, Millis now) const;
 
@@ -43,11 +43,11 @@
 
   void record_served(double work, Millis now);
   /// Use of the cores of a worker, 1 for all of them; that of a warming one says nothing of warm ones.
-  void record_core_use(WorkerIndex worker, double use, Millis now);
+  void record_utilisation(WorkerIndex worker, double utilisation, Millis now);
 
  private:
   struct Budget {
-    Millis returned_at{kNever};
+    Millis recovered_at{kNever};
     Millis filled_at{kNever};  // kNever: begins anew
     double tokens = 0;         // milliseconds of work
   };
@@ -58,15 +58,15 @@
   Random& random_;
   ActionSink& actions_;
   std::vector<Budget> budgets_;  // by WorkerIndex
-  Average core_use_;             // of warm workers
-  Millis core_use_asked_at_{kNever};
+  Average utilisation_;          // of warm workers
+  Millis utilisation_probe_at_{kNever};
   double served_ = 0;  // own work of late, decaying since served_at_
   Millis served_at_{kNever};
 
   Millis warming_since(WorkerIndex worker) const;
   double capacity_share(WorkerIndex worker, Millis now) const;
   double work_rate_of_warm_worker(Millis now) const;
-  void sample_core_use(Millis now);
+  void probe_utilisation(Millis now);
 };
 
 }  // namespace pathstack::policy
--- a/src/policy/worker_table.cpp
+++ b/src/policy/worker_table.cpp
@@ -8,22 +8,22 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kFirstLists{250};     // lists this close to the first one tell of earlier starts
-constexpr Millis kForgetAfter{60000};  // a worker gone for so long is pruned
+constexpr Millis kInitialListWindow{250};  // lists this close to the first one tell of earlier starts
+constexpr Millis kPruneAfter{60000};       // a worker gone for so long is pruned
 
 }  // namespace
 
 std::vector<WorkerChange> WorkerTable::apply(const event::WorkerList& list, Millis now) {
   std::vector<WorkerChange> changes;
   if (list_version_++ == 0) first_list_at_ = now;
-  for (const WorkerEntry& entry : list.entries) take_entry(place_of(entry.worker), entry, now, changes);
+  for (const WorkerEntry& entry : list.entries) apply_entry(find_or_add(entry.worker), entry, now, changes);
   for (Worker& worker : workers_) {
     const bool missing = list.kind != ListKind::delta && worker.listed_in != list_version_;
     if (missing && worker.state != WorkerState::gone) {
       changes.push_back({worker.index, WorkerChange::Kind::left});
       worker.state = WorkerState::gone;
     }
-    if (worker.state != WorkerState::gone) worker.gone_at = now;
+    if (worker.state != WorkerState::gone) worker.last_present_at = now;
   }
   ready_count_ = static_cast<int>(std::count_if(workers_.begin(), workers_.end(), [](const Worker& worker) {
     return worker.state == WorkerState::ready;
@@ -31,17 +31,17 @@
   return changes;
 }
 
-WorkerIndex WorkerTable::place_of(const std::string& id) {
-  const bool reused = !free_.empty();
-  const WorkerIndex next = reused ? free_.back() : workers_.size();
+WorkerIndex WorkerTable::find_or_add(const std::string& id) {
+  const bool reused = !free_indices_.empty();
+  const WorkerIndex next = reused ? free_indices_.back() : workers_.size();
   const auto [place, added] = by_id_.try_emplace(id, next);
-  if (added && reused) free_.pop_back();
+  if (added && reused) free_indices_.pop_back();
   if (added && !reused) workers_.emplace_back();
   return place->second;
 }
 
-void WorkerTable::take_entry(WorkerIndex index, const WorkerEntry& entry, Millis now,
-                             std::vector<WorkerChange>& changes) {
+void WorkerTable::apply_entry(WorkerIndex index, const WorkerEntry& entry, Millis now,
+                              std::vector<WorkerChange>& changes) {
   Worker& worker = workers_[index];
   const bool added = worker.worker.empty();
   // Zero tells nothing: entries of workers that are gone or drain need not have a stamp.
@@ -65,7 +65,7 @@
   // from now, the latest that it can be, so that a worker is never taken for warmer than it is. Of the starts
   // in the invoker's own first lists (what it knows at its start, and what it is notified of at once) only
   // the stamps are known; one ahead of the local clock counts as now.
-  if (now - first_list_at_ > kFirstLists) return now;
+  if (now - first_list_at_ > kInitialListWindow) return now;
   return std::min(stamp, now);
 }
 
@@ -73,7 +73,7 @@
   std::vector<WorkerIndex> pruned;
   for (Worker& worker : workers_) {
     if (worker.worker.empty() || worker.state != WorkerState::gone) continue;
-    if (worker.in_flight > 0 || now < worker.gone_at + kForgetAfter) continue;
+    if (worker.in_flight > 0 || now < worker.last_present_at + kPruneAfter) continue;
     const auto tag = by_tag_.find(worker_tag(worker.hash));
     if (tag != by_tag_.end() && tag->second == worker.index) by_tag_.erase(tag);
     by_id_.erase(worker.worker);
@@ -81,7 +81,7 @@
     worker = Worker();
     worker.index = index;
     worker.state = WorkerState::gone;
-    free_.push_back(index);
+    free_indices_.push_back(index);
     pruned.push_back(index);
   }
   return pruned;
@@ -100,7 +100,7 @@
 
 void WorkerTable::attempt_started(WorkerIndex index, bool confirmed, Millis now) {
   Worker& worker = workers_[index];
-  if (worker.in_flight == 0) worker.heard_at = now;
+  if (worker.in_flight == 0) worker.last_activity_at = now;
   ++worker.in_flight;
   if (has_many_invokers(settings_) && !confirmed) ++worker.unconfirmed_in_flight;
 }
--- a/src/policy/worker_table.h
+++ b/src/policy/worker_table.h
@@ -14,15 +14,15 @@
 /// clock.
 struct Worker : WorkerEntry {
   WorkerIndex index = 0;
-  std::uint64_t hash = 0;  // of its id
-  int listed_in = 0;       // version of the last list that named it
-  Millis gone_at{kNever};  // when it was last known not to be gone
+  std::uint64_t hash = 0;          // of its id
+  int listed_in = 0;               // version of the last list that named it
+  Millis last_present_at{kNever};  // when it was last known not to be gone
 
   /// From here the warm-up counts; kNever: it did not start late.
   Millis started_at{kNever};
 
   /// When anything was last received from it, or an attempt was sent to it while none was in flight.
-  Millis heard_at{kNever};
+  Millis last_activity_at{kNever};
   int in_flight = 0;
   int unconfirmed_in_flight = 0;  // of these, sent to instances not known to be loaded
 };
@@ -41,7 +41,7 @@
 /// Endpoint list and watch events.
 ///
 /// Owned by Policy, which passes the changes on. A change of a nonzero start stamp is a restart, whichever
-/// way it changed: stamps are of wall clocks that may be stepped. A worker gone for kForgetAfter is pruned;
+/// way it changed: stamps are of wall clocks that may be stepped. A worker gone for kPruneAfter is pruned;
 /// ids never come back. apply and prune are O(workers), the rest is O(1).
 class WorkerTable {
  public:
@@ -68,21 +68,21 @@
   /// `confirmed`: the instance was known to be loaded there. Each start is followed by one end.
   void attempt_started(WorkerIndex index, bool confirmed, Millis now);
   void attempt_ended(WorkerIndex index, bool confirmed);
-  void heard_from(WorkerIndex index, Millis now) { workers_[index].heard_at = now; }
+  void record_activity(WorkerIndex index, Millis now) { workers_[index].last_activity_at = now; }
 
  private:
   const Settings& settings_;
   std::vector<Worker> workers_;
   std::unordered_map<std::string, WorkerIndex> by_id_;
   std::unordered_map<std::string, WorkerIndex> by_tag_;
-  std::vector<WorkerIndex> free_;  // places of pruned workers, to be used again
+  std::vector<WorkerIndex> free_indices_;  // places of pruned workers, to be used again
   int list_version_ = 0;
   int ready_count_ = 0;
   Millis first_list_at_{kNever};
 
-  WorkerIndex place_of(const std::string& id);
-  void take_entry(WorkerIndex index, const WorkerEntry& entry, Millis now,
-                  std::vector<WorkerChange>& changes);
+  WorkerIndex find_or_add(const std::string& id);
+  void apply_entry(WorkerIndex index, const WorkerEntry& entry, Millis now,
+                   std::vector<WorkerChange>& changes);
   Millis start_time(Millis stamp, Millis now) const;
 };
 
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -9,12 +9,12 @@
 
 TEST_CASE("Gossip: is read as it was written", "[gossip]") {
   GossipMessage message;
-  message.add_own_calls(8);
+  message.add_own_requests(8);
   message.add_worker_load(hash_of("a"), 7);
   message.add_worker_load(hash_of("b"), 1000);
   const auto records = parse_gossip(message.text() + GossipMessage::worker_down(hash_of("c")));
   REQUIRE(records.size() == 4U);
-  CHECK(records[0].kind == GossipRecord::Kind::own_calls);
+  CHECK(records[0].kind == GossipRecord::Kind::own_requests);
   CHECK(records[0].value == 8);
   CHECK(records[1].kind == GossipRecord::Kind::worker_load);
   CHECK(records[1].tag == worker_tag(hash_of("a")));
@@ -27,10 +27,10 @@
 
 TEST_CASE("Gossip: stays under the limit of the wire", "[gossip]") {
   GossipMessage message;
-  message.add_own_calls(1);
-  CHECK_FALSE(message.tells_of_workers());
+  message.add_own_requests(1);
+  CHECK_FALSE(message.has_worker_records());
   while (message.has_space()) message.add_worker_load(1, 1);
-  CHECK(message.tells_of_workers());
+  CHECK(message.has_worker_records());
   CHECK(message.text().size() == 240U);
 }
 
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -55,11 +55,11 @@
 
 TEST_CASE("LoadReports: a busy invoker counts its share", "[load-reports]") {
   Parts parts(with_peers());
-  CHECK(parts.reports.own_share(parts.now) == 1);
-  parts.reports.record_peer_calls(10);
+  CHECK(parts.reports.relative_demand(parts.now) == 1);
+  parts.reports.record_peer_requests(10);
   for (int i = 0; i < 20; ++i) parts.reports.request_arrived(parts.now);
-  CHECK_THAT(parts.reports.own_share(parts.now), Catch::Matchers::WithinULP(2.0, 4));
-  CHECK_THAT(parts.reports.own_share(parts.now + Millis(1e6)), Catch::Matchers::WithinULP(0.1, 4));
+  CHECK_THAT(parts.reports.relative_demand(parts.now), Catch::Matchers::WithinULP(2.0, 4));
+  CHECK_THAT(parts.reports.relative_demand(parts.now + Millis(1e6)), Catch::Matchers::WithinULP(0.1, 4));
 }
 
 }  // namespace
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -59,7 +59,7 @@
   parts.workers.attempt_started(worker, true, parts.now);
   CHECK(parts.outliers.is_silent(worker, parts.now));
   CHECK_FALSE(parts.outliers.is_usable(worker, parts.now));
-  parts.workers.heard_from(worker, parts.now);
+  parts.workers.record_activity(worker, parts.now);
   CHECK_FALSE(parts.outliers.is_silent(worker, parts.now));
 }
 
--- a/tests/policy/simulated_fleet.h
+++ b/tests/policy/simulated_fleet.h
@@ -39,12 +39,12 @@
     }
   }
   void drain(const std::string& worker) { drains_[worker] = invoker_.now; }
-  void play(double ms) {
+  void run_for(double ms) {
     for (double end = invoker_.now.count() + ms; invoker_.now.count() < end;) step();
   }
 
   Invoker& invoker() { return invoker_; }
-  int calls = 0, served = 0, orders = 0, sends = 0, late = 0, probes = 0;
+  int calls = 0, served = 0, orders = 0, sends = 0, sends_past_grace = 0, probes = 0;
   bool answers_probes = false;                                  // by what the worker is, in the next step
   std::uint64_t functions = 6;                                  // that calls name
   std::set<std::string> used;                                   // workers that calls were sent to
@@ -75,7 +75,7 @@
   }
   void check_grace(const std::string& worker) {
     const auto drain = drains_.find(worker);
-    if (drain != drains_.end() && invoker_.now > drain->second + grace_) ++late;
+    if (drain != drains_.end() && invoker_.now > drain->second + grace_) ++sends_past_grace;
   }
   void step() {
     invoker_.pass(kStep);
@@ -122,9 +122,10 @@
         served += outcome == Outcome::ok ? 1 : 0;
         invoker_.answer(*each.call, outcome, elapsed, Warmth::unknown);
       } else {
-        const bool away = drains(each.order.worker);
+        const bool rejects = drains(each.order.worker);
         invoker_.give(event::LoadEnded{each.order.worker, each.order.function,
-                                       away ? Outcome::full : Outcome::ok, Millis(elapsed), away ? 0 : 1});
+                                       rejects ? Outcome::full : Outcome::ok, Millis(elapsed),
+                                       rejects ? 0 : 1});
       }
       take_actions();
     }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -23,7 +23,7 @@
   CHECK(parts.slow_start.is_warming_up(worker, parts.now));
   parts.now += Millis(60000);
   REQUIRE(parts.outliers.note_alive(worker, parts.now));
-  parts.slow_start.returned(worker, parts.now);
+  parts.slow_start.worker_recovered(worker, parts.now);
   CHECK(parts.slow_start.is_warming_up(worker, parts.now + parts.settings.slow_start_duration - Millis(1)));
   CHECK_FALSE(parts.slow_start.is_warming_up(worker, parts.now + parts.settings.slow_start_duration));
 }
--- a/tests/policy/useless_answers_test.cpp
+++ b/tests/policy/useless_answers_test.cpp
@@ -35,16 +35,16 @@
   s.invokers = invokers;
   s.reports_warmth = false;
   SimulatedFleet fleet(s, 8, 100);
-  fleet.play(3000);
+  fleet.run_for(3000);
   fleet.answer_with("s1", outcome);
   const int calls = fleet.calls, served = fleet.served;
   for (int second = 0; second < kSeconds; ++second) {
     const int calls_before = fleet.calls, served_before = fleet.served;
-    fleet.play(1000);
+    fleet.run_for(1000);
     fleet.answer_probes("s1");
     CHECK(fleet.served - served_before >= 0.95 * (fleet.calls - calls_before) - 1);
   }
-  fleet.play(200);
+  fleet.run_for(200);
   CHECK(fleet.served - served >= 0.99 * (fleet.calls - calls));
   // A worker that is full, fails or loses a connection for once may be tried again: the first calls find out.
   const bool may_pass = outcome != Outcome::moot && outcome != Outcome::miss;
@@ -59,10 +59,10 @@
   CHECK(again <= (may_pass ? 2 : 0));
 
   fleet.answer_with("s1", Outcome::ok);  // it comes back
-  fleet.play(10000);
+  fleet.run_for(10000);
   fleet.used.clear();
   fleet.functions = 200;  // new ones are placed anew
-  fleet.play(3000);
+  fleet.run_for(3000);
   CHECK(fleet.used.count("s1") == 1);
 }
 
--- a/tests/policy/worker_table_test.cpp
+++ b/tests/policy/worker_table_test.cpp
@@ -75,7 +75,7 @@
   apply({entry("a")});
   table.attempt_started(0, true, Millis(5));
   table.attempt_started(0, true, Millis(9));
-  CHECK(table[0].heard_at == Millis(5));
+  CHECK(table[0].last_activity_at == Millis(5));
   CHECK(table[0].in_flight == 2);
   CHECK(table[0].unconfirmed_in_flight == 0);
 }
