--- a/src/policy/average.h
+++ b/src/policy/average.h
@@ -1,12 +1,12 @@
-// A moving average that outliers can't throw off.
+/// Moving average that limits the influence of outliers.
 #pragma once
 
 #include <algorithm>
 
 namespace pathstack::policy {
 
-/// The plain mean of the first samples, then a mean with the given gain (EWMA). A sample counts at most as
-/// `outlier` times the average. O(1) in time and space.
+/// Arithmetic mean of the first samples, then an exponentially weighted moving average (EWMA) with the given
+/// gain. A sample above `outlier` times the average is reduced to that. O(1) in time and space.
 struct Average {
   double value = 0;
   int samples = 0;
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -7,23 +7,22 @@
 namespace {
 
 constexpr double kInitialLimit = 6;
-constexpr double kMaxLimit = 64;  // no known worker does more at once
+constexpr double kMaxLimit = 64;  // no known worker serves more at once
 constexpr double kLimitDecrease = 0.9;
 constexpr double kMinLimit = 1;
-constexpr double kMinLimitManyInvokers = 2;  // with many invokers
-constexpr Millis kBackoff{60};               // after a refusal of a worker: some service times
+constexpr double kMinLimitManyInvokers = 2;
+constexpr Millis kBackoff{60};  // after a rejection by a worker: several service times
 constexpr Millis kSlowdownTimeConstant{2000};
-constexpr double kSlowdownGain = 0.3;  // an invoker receives answers of one worker seldom
+constexpr double kSlowdownGain = 0.3;  // large, as an invoker seldom receives answers of one worker
 constexpr double kFleetSlowdownGain = 0.1;
-constexpr double kRiseDivisor = 3;  // slowdowns rise so many times slower than they fall
+constexpr double kRiseDivisor = 3;  // averages rise this many times slower than they fall
 constexpr double kMaxSlowdown = 20;
-constexpr double kOversubscribedSlowdown =
-    2;                               // a slowdown past this says that the worker's cores are oversubscribed
-constexpr double kFullSlowdown = 6;  // a worker that refuses an attempt counts as slowed down this much
+constexpr double kOversubscribedSlowdown = 2;  // from this slowdown on, the worker's cores are oversubscribed
+constexpr double kFullSlowdown = 6;            // sample for an attempt rejected as full
 constexpr double kOtherZoneCost = 1.15;
 constexpr double kMinWeight = 0.01;
 
-/// Gain of an average that follows `sample`: rises are followed slower, for service times vary.
+/// Gain of a moving average for `sample`: lower for a rise, as service times vary.
 double gain_for(double sample, double average, double gain) {
   return sample > average ? gain / kRiseDivisor : gain;
 }
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -1,4 +1,4 @@
-// How much this invoker may have in flight at a worker, and how slow the worker is.
+/// Limit on the attempts that this invoker has in flight at a worker, and the slowdown of the worker.
 #pragma once
 
 #include <vector>
@@ -11,12 +11,13 @@
 
 /// Concurrency limit and slowdown of each worker.
 ///
-/// Slowdown is the response time over the unloaded time of a function, 1 at an idle worker. An invoker's own
-/// answers from a worker count while they are fresh, else those of the whole fleet; reports of waiting
-/// requests go before both. The limit adapts by additive increase and multiplicative decrease (AIMD): it
-/// rises while answers are fast and falls, once in kBackoff at most, when they tell that the worker's cores
-/// are oversubscribed. A worker that refused an attempt as full gets nothing for a short while, at random, or
-/// many invokers would come back together and keep it full.
+/// Slowdown is the response time divided by the unloaded response time of the function, 1 at an idle worker.
+/// It is estimated from the worker's recent answers to this invoker, or from those of all workers if the
+/// worker's are old. Recent reports of waiting requests take precedence over both. The limit adapts by
+/// additive increase and multiplicative decrease (AIMD): it rises while answers are fast, and falls, at most
+/// once per kBackoff, when the slowdown shows that the worker's cores are oversubscribed. A worker that
+/// rejected an attempt as full gets no attempts for a short random time; with a fixed time, many invokers
+/// would return together and keep it full.
 ///
 /// Owned by Policy; written by OutcomeRecorder, read by the parts that choose workers. Every call is O(1).
 class ConcurrencyLimit {
@@ -24,28 +25,28 @@
   ConcurrencyLimit(const Settings& settings, const WorkerTable& workers, LoadReports& reports,
                    Random& random);
 
-  /// A new worker takes the place, or its worker was pruned.
+  /// Clears the state at the index: a new worker has it, or its worker was pruned.
   void reset(WorkerIndex worker);
 
   double slowdown(WorkerIndex worker, Millis now) const;
   double limit(WorkerIndex worker) const { return records_[worker].limit; }
   bool is_at_limit(WorkerIndex worker) const { return workers_[worker].in_flight >= records_[worker].limit; }
-  /// It refused an attempt as full a moment ago.
+  /// The worker rejected an attempt as full a short time ago.
   bool is_full(WorkerIndex worker, Millis now) const { return now < records_[worker].full_until; }
   bool has_room(WorkerIndex worker, Millis now) const {
     return !is_at_limit(worker) && !is_full(worker, now);
   }
-  /// Attempts that may go there beyond those in flight.
+  /// Number of further attempts that the limit allows.
   int free_slots(WorkerIndex worker) const;
 
-  /// A fault of this machine met an attempt or order to the worker a moment ago; it says nothing of the
-  /// worker.
+  /// A fault of this machine kept an attempt or load order to the worker from being sent a short time ago.
+  /// Such a fault does not count against the worker.
   bool is_backing_off(WorkerIndex worker, Millis now) const {
     return now < records_[worker].local_fault_until;
   }
 
-  /// What one further attempt costs there, for comparison: in flight times slowdown over weight, more in
-  /// another zone.
+  /// Cost of one further attempt, for comparing workers: attempts in flight times slowdown, divided by
+  /// weight; higher in another zone.
   double cost(WorkerIndex index, Millis now) const;
 
   void record_slowdown(WorkerIndex worker, double sample, Millis now);
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -8,11 +8,11 @@
 
 constexpr std::size_t kTagLength = 3;
 constexpr std::size_t kRecordLength = kTagLength + 1;
-constexpr std::size_t kMessageBytes = 240;  // stays under the wire's limit
+constexpr std::size_t kMessageBytes = 240;  // within the size limit of the protocol
 constexpr char kZeroLevel = '0';
-constexpr char kDownMark = '!';            // in place of a level; no letter of a tag
+constexpr char kDownMark = '!';            // in place of a level; does not occur in tags of workers
 constexpr char kOwnRequestsTag[] = "!!!";  // in place of a worker's tag
-constexpr double kStepsPerDoubling = 4;    // own calls are sent on a logarithmic scale
+constexpr double kStepsPerDoubling = 4;    // levels of own requests are on a logarithmic scale
 constexpr int kMaxWaiting = 60;
 
 }  // namespace
--- a/src/policy/lease_renewal.cpp
+++ b/src/policy/lease_renewal.cpp
@@ -7,23 +7,24 @@
 namespace pathstack::policy {
 namespace {
 
-/// Before a lease ends: a round trip, and a turn of the loop that comes late.
+/// How long before its end a lease is renewed: covers a round trip and a late turn of the event loop.
 constexpr Millis kRenewalLead{40};
-constexpr Millis kShortRenewalLead{20};    // where the budget runs short
-constexpr double kMaxLeadShare = 0.25;     // of a short lease
-constexpr Millis kOrderAnswerTimeout{50};  // an order not answered by then does not keep another one back
+constexpr Millis kShortRenewalLead{20};    // if the load budget runs low
+constexpr double kMaxLeadShare = 0.25;     // of the lease duration; limits the lead of short leases
+constexpr Millis kOrderAnswerTimeout{50};  // after this time a new order may be sent
 constexpr Millis kRateTimeConstant{2000};
-/// Requests per lease and worker: with fewer, chance leaves more gaps than the load budget can fill.
+/// Requests per lease duration and kept worker. With fewer, random arrivals leave more gaps than the load
+/// budget can fill.
 constexpr double kRequestsPerLease = 2;
-constexpr double kOrdersReservedPerWorker = 2;  // orders left for each kept worker before this one
-constexpr double kLowBudgetShare = 0.9;         // share of the load budget that is left
-constexpr double kVeryLowBudgetShare = 0.5;     // the same
-constexpr std::size_t kMaxDelayedRequests = 4;  // requests
-constexpr std::size_t kMaxDelayedRequestsVeryLow = 6;
+constexpr double kOrdersReservedPerWorker = 2;         // orders left for each worker earlier in kept_
+constexpr double kLowBudgetShare = 0.9;                // a smaller share of the load budget left is low
+constexpr double kVeryLowBudgetShare = 0.5;            // a smaller share left is very low
+constexpr std::size_t kMaxDelayedRequests = 4;         // if the load budget is low
+constexpr std::size_t kMaxDelayedRequestsVeryLow = 6;  // if the load budget is very low
 constexpr Millis kMaxDelay{500};
-constexpr double kMaxDelayShare = 0.75;  // of the time to the latency objective
+constexpr double kMaxDelayShare = 0.75;  // of the time from arrival to the latency objective
 constexpr double kMaxOrdersLogged = 999;
-constexpr double kSlowRunFactor = 1.6;  // mean runs: most answers have come by then
+constexpr double kSlowRunFactor = 1.6;  // in mean run times, by which most answers have arrived
 
 }  // namespace
 
@@ -76,7 +77,7 @@
   }
 }
 
-// Sweeps are too far apart: an order that leaves early is one too many soon.
+// Sweeps are too far apart to send renewals on time, and renewals sent early would soon cost an extra order.
 void LeaseRenewal::set_timer(Millis at, Millis now) {
   const bool sweep_comes_first = at >= now + kSweepInterval;
   const bool is_set = now < timer_at_ && timer_at_ <= at;
@@ -100,7 +101,7 @@
   kept_.erase(std::remove_if(kept_.begin(), kept_.end(), is_expired), kept_.end());
 }
 
-// What an operator needs to see why a worker was lost: was an order sent, could one be sent?
+// Logs what an operator needs to see why a lease expired: whether an order was sent, or could have been.
 void LeaseRenewal::log_lost(WorkerIndex worker, Millis now) const {
   const auto age = [now](Millis at) {
     return at <= kNever ? std::string("never") : std::to_string(static_cast<long>((now - at).count()));
@@ -126,7 +127,8 @@
          outliers_.is_healthy(worker, now);
 }
 
-// Those that accepted something last; a kept one that is unhealthy is renewed, but counts for nothing.
+// Adds the workers that accepted work most recently. An unhealthy kept worker is still renewed, but does not
+// count towards the target.
 void LeaseRenewal::choose_kept_workers(Millis now) {
   const auto is_healthy = [&](WorkerIndex worker) { return outliers_.is_healthy(worker, now); };
   auto healthy = static_cast<std::size_t>(std::count_if(kept_.begin(), kept_.end(), is_healthy));
@@ -174,7 +176,7 @@
   Record& record = records_[worker];
   if (record.order_at <= kNever || record.order_function != order.function) return;
   if (order.outcome == Outcome::not_sent) order_budget_.order_not_sent(record.order_at);
-  // It had room for what stood there.
+  // The function was loaded there and needed no more memory, so the worker is not full but drains.
   if (order.outcome == Outcome::full) lease_.revoke(worker);
   record.order_at = kNever;
   update(now);
--- a/src/policy/lease_renewal.h
+++ b/src/policy/lease_renewal.h
@@ -1,4 +1,4 @@
-// Keeps workers in use while the membership log is out of reach and the settings allow no probes.
+/// Keeps workers in use while the membership log is unreachable and the settings allow no probes.
 #pragma once
 
 #include <cstddef>
@@ -17,58 +17,58 @@
 
 namespace pathstack::policy {
 
-/// Token of the timer at which `LeaseRenewal::update` is due; no serial number of a request.
+/// Token of the timer at which `LeaseRenewal::update` is due; never the serial number of a request.
 inline constexpr std::uint64_t kRenewalTimer = std::numeric_limits<std::uint64_t>::max();
 
 /// Renews the leases of a few workers by load orders.
 ///
-/// Without probes a worker whose lease has ended cannot be asked whether it drains: it is lost until the log
-/// is back. Requests spread over all workers reach each one less often than a lease lasts, so that all would
-/// be lost. From shortly before the lease on the list ends:
+/// Without probes, a worker whose lease has expired cannot be checked for a drain and stays unused until the
+/// log is back. Requests spread over all workers reach each one less often than a lease lasts, so the leases
+/// of all workers would expire. From shortly before the lease on the list expires:
 ///
-/// - New work goes to kept workers alone, as many as the requests of this invoker keep confirmed.
-/// - The lease of a kept worker that no answer renews in time is renewed by a load order for a function that
-///   stands loaded there, which the worker answers at once, or turns away if it drains.
-/// - Such orders count against the load budget. Where one worker is kept and the budget runs short, the last
-///   requests queued are delayed a little, so that they come when its lease needs them.
+/// - New work goes to kept workers only: as many workers as the requests of this invoker can keep confirmed.
+/// - If no answer renews the lease of a kept worker in time, a load order for a function that is loaded
+///   there renews it. The worker answers such an order at once, or rejects it if it drains.
+/// - These orders count against the load budget. If a single worker is kept and the budget runs low, the last
+///   queued requests are delayed a little, so that their answers renew its lease when that is due.
 ///
-/// Does nothing while the list is current, nor where probes are allowed. Owned by Policy, called by Engine at
-/// each event and by Scheduler. update is O(kept workers), O(workers) when one is to be chosen; the rest is
-/// O(1). The derivation of what can be kept: docs/incidents/2026-12-03-outage-without-probes.md.
+/// Does nothing while the list is current, or if probes are allowed. Owned by Policy, called by Engine at
+/// each event and by Scheduler. update is O(kept workers), or O(workers) when a worker has to be chosen; the
+/// rest is O(1). For how many workers can be kept, see docs/incidents/2026-12-03-outage-without-probes.md.
 class LeaseRenewal {
  public:
   LeaseRenewal(const Settings& settings, const WorkerTable& workers, MembershipLease& lease,
                FunctionTable& functions, const ServiceTimes& times, const OutlierDetector& outliers,
                LoadOrderBudget& order_budget, ActionSink& actions);
 
-  /// A new worker takes the place, or its worker was pruned.
+  /// Clears the state at the index: a new worker has it, or its worker was pruned.
   void reset(WorkerIndex worker);
 
   void request_arrived(Millis now);
-  /// An attempt has left for an instance that stands loaded: its answer is likely to renew the lease.
+  /// An attempt was sent to a loaded instance, so its answer is likely to renew the lease.
   void attempt_sent(WorkerIndex worker, Millis now) { records_[worker].sent_at = now; }
-  /// A load order has ended, whoever gave it.
+  /// Handles the end of any load order, also of one that another part sent.
   void order_ended(WorkerIndex worker, const event::LoadEnded& order, Millis now);
 
-  /// Chooses the kept workers, and sends the orders that are due.
+  /// Chooses the kept workers and sends the load orders that are due.
   void update(Millis now);
 
-  /// The load budget is needed for renewals: functions are to be loaded by sending requests.
+  /// True if the load budget is reserved for renewals, so that functions must be loaded by sending requests.
   bool needs_load_budget() const { return !kept_.empty() && !settings_.rejects_on_miss; }
 
-  /// The request is to wait for a moment, as its answer will be needed to renew the lease. `queued`: all
-  /// requests that are queued.
+  /// True if the request should wait, since its answer will be needed to renew the lease. `queued`: number of
+  /// all queued requests.
   bool should_delay(const Request& request, std::size_t queued, Millis now);
 
-  /// Orders sent to renew a lease.
+  /// Number of load orders sent to renew a lease.
   std::size_t orders_sent() const { return orders_sent_; }
   std::size_t kept_count() const { return kept_.size(); }
 
  private:
   struct Record {
-    Millis sent_at{kNever};     // the last attempt
-    Millis order_at{kNever};    // kNever: no renewal is out
-    Millis ordered_at{kNever};  // the last renewal, whether it is out or not
+    Millis sent_at{kNever};     // of the last attempt
+    Millis order_at{kNever};    // of the renewal in flight; kNever: none
+    Millis ordered_at{kNever};  // of the last renewal, ended or not
     std::uint64_t order_function = 0;
   };
 
@@ -81,11 +81,11 @@
   LoadOrderBudget& order_budget_;
   ActionSink& actions_;
   std::vector<Record> records_;    // by WorkerIndex
-  std::vector<WorkerIndex> kept_;  // the first one is renewed first
-  double recent_requests_ = 0;     // of late, decaying since requests_at_
+  std::vector<WorkerIndex> kept_;  // in order of renewal
+  double recent_requests_ = 0;     // decaying count as of requests_at_
   Millis requests_at_{kNever};
   std::size_t orders_sent_ = 0;
-  Millis timer_at_{kNever};  // the last timer set
+  Millis timer_at_{kNever};  // when the last timer set fires
 
   double budget_share_left(Millis now) const;
   Millis renewal_age(Millis now) const;
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -7,15 +7,17 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kReportInterval{1000};          // reports of a worker are refreshed about as often
-constexpr Millis kGossipIntervalWithProbes{60};  // as many reports come as there are workers
-constexpr double kNotifiersPerInterval =
-    30;  // where answers bring reports, so many invokers notify in a pace
+constexpr Millis kReportInterval{1000};  // approximate interval between reports of a worker
+/// Short, since in each kReportInterval there are as many reports as workers.
+constexpr Millis kGossipIntervalWithProbes{60};
+/// Number of invokers that send gossip per kReportInterval where answers bring the reports.
+constexpr double kNotifiersPerInterval = 30;
 constexpr double kMaxWaiting = 1000;
-constexpr double kPeerRequestsGain = 0.002;  // hundreds of invokers notify, some far busier than others
-constexpr double kNoOutlierLimit = 1e9;
-constexpr double kMinRelativeDemand =
-    0.1;  // a nearly idle invoker knows too little of the mix to be scaled up more
+/// Small, since hundreds of invokers report, some far busier than others.
+constexpr double kPeerRequestsGain = 0.002;
+constexpr double kNoOutlierLimit = 1e9;  // no limit on samples
+/// Limits the scaling of demand at a nearly idle invoker, which sees too little of the request mix.
+constexpr double kMinRelativeDemand = 0.1;
 
 }  // namespace
 
@@ -41,7 +43,8 @@
     const ReportField field = settings_.report_fields[i];
     const double value = (*report)[i];
     if (field == ReportField::utilisation) slow_start_.record_utilisation(worker, value, now);
-    // Requests in service are taken off; where there is a figure of the queue itself, it is the better one.
+    // The queue length is preferred to the number in flight, from which the requests in service are
+    // subtracted.
     const bool is_queue = field == ReportField::queue;
     if (!is_queue && (reports_queue_ || field != ReportField::inflight)) continue;
     const double waiting = value - (is_queue ? 0 : kAssumedInService);
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -1,4 +1,4 @@
-// How many requests wait at each worker, by load reports, and by gossip between invokers.
+/// Number of requests waiting at each worker, from load reports and from gossip between invokers.
 #pragma once
 
 #include <vector>
@@ -10,14 +10,15 @@
 
 namespace pathstack::policy {
 
-/// Requests that a worker serves at once, about: more of them wait.
+/// Approximate number of requests that a worker serves at once; further ones wait.
 inline constexpr double kAssumedInService = 4;
 
 /// Load of workers and of the other invokers.
 ///
-/// Each invoker alone hears from a worker seldom. So two invokers a worker probe it, whoever has a report
-/// notifies the others, and reports that came by a peer are not passed on. The invoker's own recent requests
-/// go with them: one that is busier than the mean must not take itself for the mean one.
+/// A single invoker seldom receives a report from a given worker. So two invokers are assigned to probe each
+/// worker, and an invoker that has a report sends it to all peers; reports received from a peer are not sent
+/// on. The messages also hold the number of the sender's recent requests, with which an invoker that is
+/// busier than the mean one can tell that it is.
 ///
 /// Owned by Policy. exchange is O(workers), the rest O(1) or O(fields of a report).
 class LoadReports {
@@ -25,25 +26,25 @@
   LoadReports(const Settings& settings, const WorkerTable& workers, SlowStart& slow_start,
               ActionSink& actions);
 
-  /// A new worker takes the place, or its worker was pruned.
+  /// Clears the state at the index: a new worker has it, or its worker was pruned.
   void reset(WorkerIndex worker);
 
   void record(WorkerIndex worker, const Report& report, Millis now);
-  /// `waiting` as a peer has it.
+  /// Records the number of waiting requests that a peer reported.
   void record_gossip(WorkerIndex worker, double waiting, Millis now);
   void record_peer_requests(double requests);
   void request_arrived(Millis now);
 
-  /// What was reported is no longer true.
+  /// Drops the last report of the worker, which no longer holds.
   void invalidate(WorkerIndex worker) { records_[worker].reported_at = kNever; }
-  /// Requests that wait at the worker beyond those in service; see reported_at.
+  /// Requests waiting at the worker, without those in service, as of reported_at.
   double waiting(WorkerIndex worker) const { return records_[worker].waiting; }
   Millis reported_at(WorkerIndex worker) const { return records_[worker].reported_at; }
 
-  /// Own recent requests over those of the mean invoker; 1 as long as nothing was received from peers.
+  /// Own recent requests divided by those of the mean invoker; 1 until a peer has reported its requests.
   double relative_demand(Millis now) const;
 
-  /// Probes and gossip that are due.
+  /// Sends the probes and gossip messages that are due.
   void exchange(Millis now);
 
  private:
@@ -52,7 +53,7 @@
     Millis reported_at{kNever};
     Millis peer_reported_at{kNever};
     Millis probed_at{kNever};
-    bool gossiped = true;  // nothing new to notify peers of
+    bool gossiped = true;  // nothing new to send to peers
   };
 
   const Settings& settings_;
@@ -62,7 +63,7 @@
   const bool reports_queue_;
   std::vector<Record> records_;  // by WorkerIndex
   Average peer_requests_;
-  double own_requests_ = 0;  // of late, decaying since own_requests_at_
+  double own_requests_ = 0;  // decaying count as of own_requests_at_
   Millis own_requests_at_{kNever};
   Millis gossiped_at_{kNever};
 
--- a/src/policy/membership_lease.cpp
+++ b/src/policy/membership_lease.cpp
@@ -9,10 +9,10 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kProbeAnswerTimeout{100};  // a probe unanswered for so long: other workers are tried
-constexpr Millis kProbeInterval{1000};      // the pace of probes at a worker that answers none
-constexpr Millis kUnhealthyWithholdTime{
-    1000};  // a drain lasts seconds; a worker that recovers is asked again
+constexpr Millis kProbeAnswerTimeout{100};  // after this time without an answer other workers are probed
+constexpr Millis kProbeInterval{1000};      // between probes of a worker that does not answer
+/// A drain lasts seconds; a worker that has recovered is found by a new probe.
+constexpr Millis kUnhealthyWithholdTime{1000};
 constexpr Millis kUnreachableWithholdTime{1000};  // after a probe that could not be delivered
 
 }  // namespace
@@ -37,7 +37,8 @@
   return is_list_current(now) || now - lease_start(worker) <= duration_;
 }
 
-// One that drained before the list ceased to be current has accepted nothing since.
+// A worker that began to drain while the list was current has accepted nothing since. So if a
+// worker accepted work sent after `until`, any drain is a later change, published from later_changes_from on.
 Millis MembershipLease::lease_start(WorkerIndex worker) const {
   const Millis accepted_at = records_[worker].accepted_at;
   return accepted_at < list_.until ? accepted_at : std::max(accepted_at, list_.later_changes_from);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Millis kInitialEjection{1000};    // doubles with each relapse
-constexpr Millis kFastErrorEjection{4000};  // first ejection after an error faster than a run
+constexpr Millis kFastErrorEjection{4000};  // initial ejection after an error faster than a run
 constexpr Millis kMaxEjection{8000};        // faults last tens of seconds
-constexpr double kErrorGain = 0.4;          // of a class's failures at one worker: two in a row eject it
-constexpr double kClassErrorGain = 0.05;    // of a class's failures at any worker
-constexpr double kErrorThreshold = 0.5;     // share of failures that ejects, over half the class's share
-constexpr Millis kLossWindow{20};           // answers lost within this were lost together
-constexpr int kMaxProbesLost = 3;           // so many lost probes on end, and no answer, count as a loss
-constexpr Millis kAliveWindow{1000};        // a worker that answered in this time runs
+constexpr double kErrorGain = 0.4;          // for a class at one worker: two failures in a row eject it
+constexpr double kClassErrorGain = 0.05;    // for a class at all workers
+constexpr double kErrorThreshold = 0.5;     // rate that ejects, plus half the rate of the class
+constexpr Millis kLossWindow{20};           // answers lost within this time count as one loss
+constexpr int kMaxProbesLost = 3;           // lost in a row, without an answer, that mark a worker down
+constexpr Millis kAliveWindow{1000};        // a worker that answered within this time is running
 
 }  // namespace
 
@@ -173,7 +173,7 @@
   Record& record = records_[worker];
   const Millis asked_at = std::exchange(record.suspect_since, kNever);
   const bool suspect = asked_at > kNever;
-  // New connections may be reset as well while the process is well: what has answered since the probe runs.
+  // New connections may be reset although the process runs: an answer since the probe proves that it runs.
   const bool answered_since = record.answered_at > asked_at;
   if (outcome == Outcome::not_sent) {
     if (!suspect || answered_since) return;
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,4 +1,4 @@
-// Which workers are healthy: passive outlier detection, suspicion after broken connections, gossip of losses.
+/// Health of workers: passive outlier detection, probes after broken connections, gossip about lost workers.
 #pragma once
 
 #include <deque>
@@ -15,63 +15,61 @@
 
 /// Decides whether a worker may be used, as a whole and by class.
 ///
-/// - Failures of a class at a worker are judged against the same class elsewhere: a class that fails
-/// everywhere ejects
-///   nobody. An ejection doubles with each relapse; after it the worker is half-open, one attempt at a time.
-/// - Answers that end no request and tell nothing of it (moot, and unreadable ones) count as failures.
-/// - A worker with attempts in flight that answers nothing for several usual runs is silent and not used.
-/// Where
-///   all that is in flight may wait for a load, the time of a load is added.
-/// - One broken connection makes its worker suspect: a probe on another connection tells whether it runs.
-/// Lost probes
-///   in a row mark it down, unless it has answered meanwhile.
-/// - A worker that is down counts as restarted when it answers again; peers are notified at once, since one
-/// that
-///   restarts before the list tells of it would get the full load of many invokers.
+/// - The failure rate of a class at a worker is compared with that of the class at all workers, so a class
+///   that fails everywhere ejects no worker. The duration of an ejection doubles with each relapse. After an
+///   ejection the worker is half-open: it gets one attempt at a time until one succeeds.
+/// - Answers that do not end their request (moot and unreadable ones) count as failures.
+/// - A worker with attempts in flight that sends no answer for several mean run times is silent and is not
+///   used. If every attempt in flight may be waiting for a load, the load timeout is added.
+/// - A broken connection makes the worker suspect: a probe on another connection shows whether it still runs.
+///   Several lost probes in a row mark the worker down, unless it has answered meanwhile.
+/// - A worker that is down counts as restarted when it answers again. Peers are notified at once, since a
+///   worker that restarts before the list reports it would get the full load of many invokers.
 ///
-/// Owned by Policy; marks instances of a worker that goes down as gone in FunctionTable. All calls are O(1),
-/// but for marking down: O(functions x instances).
+/// Owned by Policy. When a worker goes down, its instances are marked as gone in FunctionTable, which is
+/// O(functions x instances); all other calls are O(1).
 class OutlierDetector {
  public:
   OutlierDetector(const Settings& settings, const WorkerTable& workers, const MembershipLease& lease,
                   const ServiceTimes& times, FunctionTable& functions, ActionSink& actions);
 
-  /// A new worker takes the place, or its worker was pruned.
+  /// Clears the state at the index: a new worker has it, or its worker was pruned.
   void reset(WorkerIndex worker);
-  /// Another process: what was judged is void.
+  /// The worker has a new process: clears all ejections and failure rates.
   void restarted(WorkerIndex worker);
 
-  /// Ready by the list, and healthy as a whole.
+  /// Ready according to the list, and neither ejected as a whole, silent nor suspect.
   bool is_healthy(WorkerIndex index, Millis now) const;
   /// Healthy, and not withheld while the list is not current.
   bool is_usable(WorkerIndex index, Millis now) const;
-  /// Not ejected for requests of this class; is_usable is a condition of its own.
+  /// Not ejected for requests of this class. Does not imply is_usable.
   bool serves_class(WorkerIndex index, int class_index, Millis now) const;
   bool is_silent(WorkerIndex index, Millis now) const;
   bool is_down(WorkerIndex worker) const { return records_[worker].down; }
 
   void record_success(WorkerIndex worker, int class_index, Millis now);
   void record_failure(WorkerIndex worker, int class_index, Millis now);
-  /// Answers of the worker, of any class, were lost with its connection: one failure, however many.
+  /// Answers of the worker were lost with their connection. Losses within kLossWindow, of any class, count as
+  /// one failure.
   void record_lost_answers(WorkerIndex worker, int class_index, Millis now);
   void eject(WorkerIndex worker, Millis now);
-  /// For an error faster than a run, which no load can have caused.
+  /// Ejects a class after an error that came faster than a run takes, which overload cannot explain.
   void eject_class_for_fast_error(WorkerIndex worker, int class_index, Millis now);
 
-  /// A connection to the worker broke or could not be opened; `reset`: its process may have died.
+  /// A connection to the worker broke or could not be opened. `reset`: the worker's process may have died.
   void connection_failed(WorkerIndex worker, bool reset, Millis now);
-  /// The network gave up on a connection; the process may well run on, so this is no sign of a restart.
+  /// The network gave up on a connection. The process may still run, so this does not indicate a restart.
   void network_unreachable(WorkerIndex worker, Millis now);
 
-  /// True if the worker was down until now: it counts as restarted.
+  /// Records an answer of the worker. True if the worker was down until now and so counts as restarted.
   bool note_alive(WorkerIndex worker, Millis now);
-  /// The outcome of a probe that was not answered.
+  /// Handles a probe that was not answered.
   void probe_failed(WorkerIndex worker, Outcome outcome, Millis now);
-  /// The probe was answered: the worker is no longer suspect.
+  /// Handles an answered probe: the worker is no longer suspect.
   void probe_answered(WorkerIndex worker) { records_[worker].suspect_since = kNever; }
   void peer_reported_down(WorkerIndex worker, Millis now);
 
-  /// Asks again where a fault of this machine kept the probe of a suspect worker from leaving.
+  /// Sends the probes of suspect workers again that a fault of this machine kept from being sent.
   void repeat_probes(Millis now);
 
  private:
@@ -85,16 +83,16 @@
     Health overall;
     std::vector<Health> classes;  // by class_slot
     Millis answers_lost_at{kNever};
-    bool down = false;  // seen to be down, not yet seen to be back
+    bool down = false;  // cleared by the next answer
     Millis answered_at{kNever};
-    Millis gossiped_down_at{kNever};  // by this invoker or a peer
-    Millis suspect_since{kNever};     // the latest probe that is to clear it was asked for then
+    Millis gossiped_down_at{kNever};  // the last message of this invoker or a peer
+    Millis suspect_since{kNever};  // when the last probe to clear the suspicion was sent; kNever: not suspect
     bool suspect_by_reset = false;
-    int probes_lost = 0;  // since it became suspect
+    int probes_lost = 0;  // in a row, since the worker became suspect
   };
   struct ProbeToRepeat {
     Millis at{0};
-    std::string worker;  // by id: its place may be another's by then
+    std::string worker;  // the id, as the index may belong to another worker by then
   };
 
   const Settings& settings_;
@@ -104,7 +102,7 @@
   FunctionTable& functions_;
   ActionSink& actions_;
   std::vector<Record> records_;                 // by WorkerIndex
-  std::vector<double> class_error_rates_;       // by class_slot: share that failed of late, at any worker
+  std::vector<double> class_error_rates_;       // by class_slot: recent failure rate at all workers
   std::deque<ProbeToRepeat> probes_to_repeat_;  // in order of time
 
   static bool admits(const Health& health, const Worker& worker, Millis now);
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,14 +5,15 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kServedTimeConstant{4000};  // some windows of the rule
-constexpr Millis kUtilisationProbeInterval{
-    5000};  // pace of probes while a budget keeps requests from a warming worker
-constexpr double kUtilisationGain = 0.3;  // samples are few
-constexpr double kNoOutlierLimit = 1e9;
-constexpr double kMinUtilisation = 0.25;      // less is taken as this: samples are few and noisy
-constexpr double kBudgetShare = 0.6;          // part of the budget that is used: chance and clock slack
-constexpr double kWindowsPerSavedBudget = 5;  // a budget saves up a fifth of a window at most, or one request
+constexpr Millis kServedTimeConstant{4000};  // several windows of rule 4
+/// Between probes for the utilisation of warm workers, sent while a budget holds requests back.
+constexpr Millis kUtilisationProbeInterval{5000};
+constexpr double kUtilisationGain = 0.3;  // large, as samples are few
+constexpr double kNoOutlierLimit = 1e9;   // no limit on samples
+constexpr double kMinUtilisation = 0.25;  // lower bound, as samples are few and noisy
+/// Share of the allowed rate that is used. The rest allows for random variation and clock skew.
+constexpr double kBudgetShare = 0.6;
+constexpr double kWindowsPerSavedBudget = 5;  // a budget holds a fifth of a window at most, or one request
 
 }  // namespace
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,4 @@
-// Budget of a worker that is warming up.
+/// Slow start: the budget of work for a worker that is warming up.
 #pragma once
 
 #include <vector>
@@ -12,43 +12,45 @@
 
 /// Limits the work that this invoker sends to a worker while it warms up.
 ///
-/// The platform's rule 4 allows a warming worker a multiple of its present share of what a warm one could
-/// serve, summed over all invokers. What a warm one could serve is what this invoker gets served by the mean
-/// warm worker over the use of its cores, which probes tell. With many invokers the budget is under one
-/// request a window: it is saved up, from a random start, so that the invokers take turns.
+/// Rule 4 of the platform allows a warming worker a multiple of its present share of the capacity of a warm
+/// worker, summed over all invokers. The capacity of a warm worker is estimated as the work that the mean
+/// warm worker serves for this invoker, divided by its CPU utilisation, which probes report. With many
+/// invokers the budget is less than one request per window; it is saved up from a random initial value, so
+/// that the invokers take turns.
 ///
-/// Owned by Policy; asked by RetryPolicy for each candidate. is_warming_up is O(1), has_budget is O(workers)
-/// for a warming worker. Work is in milliseconds of a run.
+/// Owned by Policy; called by RetryPolicy for each candidate. is_warming_up is O(1), has_budget is O(workers)
+/// for a warming worker. Work is measured in milliseconds of run time.
 class SlowStart {
  public:
   SlowStart(const Settings& settings, const WorkerTable& workers, const OutlierDetector& outliers,
             Random& random, ActionSink& actions);
 
-  /// A new worker takes the place, or its worker was pruned.
+  /// Clears the state at the index: a new worker has it, or its worker was pruned.
   void reset(WorkerIndex worker);
-  /// A list has named another process: its budget is new, and its start is in the worker table.
+  /// A list reported a new process: its budget starts anew; its start time is in the worker table.
   void restarted(WorkerIndex worker) { budgets_[worker].filled_at = kNever; }
-  /// It was down and answers again: lists come late, so the warm-up counts from here.
+  /// The worker was down and answers again. Lists arrive late, so the warm-up is counted from `now`.
   void worker_recovered(WorkerIndex worker, Millis now);
 
   bool is_warming_up(WorkerIndex worker, Millis now) const;
 
-  /// True if the worker is warm or its budget covers `work`. Asks for a probe of a warm worker if it does
-  /// not.
+  /// True if the worker is warm or its budget covers `work`. If not, a warm worker may be probed for its CPU
+  /// utilisation.
   bool has_budget(WorkerIndex worker, double work, Millis now);
-  /// Takes what an attempt costs, nothing for a warm worker; returns it.
+  /// Deducts the cost of an attempt from the budget and returns it; 0 for a warm worker.
   double charge(WorkerIndex worker, double work, Millis now);
-  /// The attempt was not sent.
+  /// Gives back `cost`, the cost of an attempt that was not sent.
   void refund(WorkerIndex worker, double cost) { budgets_[worker].tokens += cost; }
 
   void record_served(double work, Millis now);
-  /// Use of the cores of a worker, 1 for all of them; that of a warming one says nothing of warm ones.
+  /// Records the CPU utilisation of a worker; 1: all cores busy. Ignored for a warming worker, as the average
+  /// is that of warm workers.
   void record_utilisation(WorkerIndex worker, double utilisation, Millis now);
 
  private:
   struct Budget {
     Millis recovered_at{kNever};
-    Millis filled_at{kNever};  // kNever: begins anew
+    Millis filled_at{kNever};  // kNever: the budget starts anew
     double tokens = 0;         // milliseconds of work
   };
 
@@ -60,7 +62,7 @@
   std::vector<Budget> budgets_;  // by WorkerIndex
   Average utilisation_;          // of warm workers
   Millis utilisation_probe_at_{kNever};
-  double served_ = 0;  // own work of late, decaying since served_at_
+  double served_ = 0;  // decaying sum of own served work as of served_at_
   Millis served_at_{kNever};
 
   Millis warming_since(WorkerIndex worker) const;
--- a/src/policy/worker_table.cpp
+++ b/src/policy/worker_table.cpp
@@ -8,8 +8,8 @@
 namespace pathstack::policy {
 namespace {
 
-constexpr Millis kInitialListWindow{250};  // lists this close to the first one tell of earlier starts
-constexpr Millis kPruneAfter{60000};       // a worker gone for so long is pruned
+constexpr Millis kInitialListWindow{250};  // lists this soon after the first report starts of earlier times
+constexpr Millis kPruneAfter{60000};       // how long a worker has been gone
 
 }  // namespace
 
@@ -44,7 +44,7 @@
                               std::vector<WorkerChange>& changes) {
   Worker& worker = workers_[index];
   const bool added = worker.worker.empty();
-  // Zero tells nothing: entries of workers that are gone or drain need not have a stamp.
+  // Zero means no stamp: entries of draining and gone workers may lack one.
   const bool stamped = entry.started.count() != 0 && (added || entry.started != worker.started);
   const Millis stamp = stamped ? entry.started : worker.started;
   if (stamped) worker.started_at = start_time(entry.started, now);
@@ -61,10 +61,10 @@
 }
 
 Millis WorkerTable::start_time(Millis stamp, Millis now) const {
-  // A start that a live list tells of lies between the list before and now, whatever its stamp: it counts
-  // from now, the latest that it can be, so that a worker is never taken for warmer than it is. Of the starts
-  // in the invoker's own first lists (what it knows at its start, and what it is notified of at once) only
-  // the stamps are known; one ahead of the local clock counts as now.
+  // A start reported by a later list happened between the previous list and now, whatever its stamp. It is
+  // taken as now, the latest possible time, so that a worker is never assumed to be warmer than it is. For
+  // starts in the first lists (known when the invoker starts, or sent to it at once) only the stamp is
+  // available; a stamp ahead of the local clock is taken as now.
   if (now - first_list_at_ > kInitialListWindow) return now;
   return std::min(stamp, now);
 }
