--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::policy::test {
 namespace {
 
-TEST_CASE("Gossip: is read as it was written", "[gossip]") {
+TEST_CASE("Gossip: parsing returns what was written", "[gossip]") {
   GossipMessage message;
   message.add_own_requests(8);
   message.add_worker_load(hash_of("a"), 7);
@@ -19,13 +19,13 @@
   CHECK(records[1].kind == GossipRecord::Kind::worker_load);
   CHECK(records[1].tag == worker_tag(hash_of("a")));
   CHECK(records[1].value == 7);
-  UNSCOPED_INFO("the most that a level tells");
+  UNSCOPED_INFO("the largest value of a level");
   CHECK(records[2].value == 60);
   CHECK(records[3].kind == GossipRecord::Kind::worker_down);
   CHECK(records[3].tag == worker_tag(hash_of("c")));
 }
 
-TEST_CASE("Gossip: stays under the limit of the wire", "[gossip]") {
+TEST_CASE("Gossip: messages stay within the size limit of the protocol", "[gossip]") {
   GossipMessage message;
   message.add_own_requests(1);
   CHECK_FALSE(message.has_worker_records());
@@ -34,7 +34,7 @@
   CHECK(message.text().size() == 240U);
 }
 
-TEST_CASE("Gossip: of any content is read", "[gossip]") {
+TEST_CASE("Gossip: messages of any content are parsed", "[gossip]") {
   CHECK(parse_gossip("").empty());
   CHECK(parse_gossip("abc").empty());
   CHECK(parse_gossip("\xff\xfe\xfd\xfc#").size() == 1U);
--- a/tests/policy/lease_renewal_test.cpp
+++ b/tests/policy/lease_renewal_test.cpp
@@ -5,8 +5,9 @@
 #include "policy_harness.h"
 #include "simulated_fleet.h"
 
-// Guards against an invoker that serves nothing from 4 s into an outage of the membership log on, where the
-// settings allow no probes (docs/incidents/2026-12-03-outage-without-probes.md).
+// Guards against a failure where an invoker serves nothing later than 4 s after the start of an outage of the
+// membership log, because the settings allow no probes and the leases of all workers have expired
+// (docs/incidents/2026-12-03-outage-without-probes.md).
 namespace pathstack::policy::test {
 namespace {
 
@@ -24,8 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("LeaseRenewal: nothing is ordered while the list is current, nor where probes are allowed",
-          "[lease-renewal]") {
+TEST_CASE("LeaseRenewal: no renewals while the list is current or if probes are allowed", "[lease-renewal]") {
   Settings s = settings_without_probes(30);
   const bool probes = GENERATE(false, true);
   s.probes = probes;
@@ -41,8 +41,7 @@
   CHECK(fleet.invoker().policy.statistics()["lease.renewed"] == 0);
 }
 
-TEST_CASE("LeaseRenewal: an outage of a minute is served, and nothing goes to workers past their drain",
-          "[lease-renewal]") {
+TEST_CASE("LeaseRenewal: calls are served during an outage of a minute, by few workers", "[lease-renewal]") {
   const double rate = GENERATE(10.0, 30.0, 60.0);
   const int workers = GENERATE(10, 60);
   SimulatedFleet fleet(settings_without_probes(30), workers, rate);
@@ -55,12 +54,12 @@
   const double share = static_cast<double>(fleet.served - served) / (fleet.calls - calls);
   CHECK(share >= 0.95);
   CHECK(static_cast<double>(fleet.used.size()) <=
-        rate * 0.25);  // no more workers than the calls keep confirmed
+        rate * 0.25);  // only as many workers as the calls can keep confirmed
   CHECK(fleet.invoker().policy.statistics()["lease.renewed"] > 0);
   CHECK_FALSE(fleet.invoker().broken);
 }
 
-TEST_CASE("LeaseRenewal: a kept worker that drains is found out by what it turns away", "[lease-renewal]") {
+TEST_CASE("LeaseRenewal: a draining kept worker is detected when it rejects work", "[lease-renewal]") {
   SimulatedFleet fleet(settings_without_probes(3), 11, 60);
   fleet.run_for(5000);
   fleet.begin_outage();
@@ -73,14 +72,14 @@
   CHECK(static_cast<double>(fleet.served - served) / (fleet.calls - calls) >= 0.95);
 }
 
-TEST_CASE("LeaseRenewal: renewals keep to the load budget, and end with the outage", "[lease-renewal]") {
+TEST_CASE("LeaseRenewal: renewals stay within the load budget and end with the outage", "[lease-renewal]") {
   const int workers = GENERATE(11, 60, 240);
   SimulatedFleet fleet(settings_without_probes(30), workers, 30);
   fleet.run_for(5000);
   fleet.begin_outage();
   const int before = fleet.orders, calls = fleet.calls;
   fleet.run_for(20000);
-  // Whatever the number of workers: the floor once a window, and the ratio of the calls.
+  // For any number of workers: the floor of each window plus the ratio of the calls.
   CHECK(fleet.orders - before <= 3 * 4 + 0.15 * (fleet.calls - calls + 30 * 5));
   fleet.renew_list();
   fleet.run_for(500);
@@ -89,7 +88,8 @@
   CHECK(fleet.invoker().policy.statistics()["lease.renewed"] == renewed);
 }
 
-TEST_CASE("LeaseRenewal: after a break a word lasts until later changes count as told", "[lease-renewal]") {
+TEST_CASE("LeaseRenewal: with a later start of unreceived changes, leases last from that start",
+          "[lease-renewal]") {
   Settings s = settings_without_probes(3);
   s.load_orders = false;
   SimulatedFleet fleet(s, 3, 20);
@@ -98,13 +98,13 @@
   invoker.give(event::ListLease{invoker.now, invoker.now + Millis(1750)});
   fleet.run_for(500);
   const int served = fleet.served;
-  invoker.pass(1000);  // no call comes
-  fleet.run_for(500);  // 2000 ms after the break: within the grace
+  invoker.pass(1000);  // without calls
+  fleet.run_for(500);  // 2000 ms after the lease on the list ended: within the drain grace
   CHECK(fleet.served > served);
 }
 
-// Where probes are allowed, these too grow with the work, not with the fleet.
-TEST_CASE("MembershipLease: probes are bounded by the calls, whatever the number of workers",
+// Where probes are allowed, their number must grow with the calls, not with the number of workers.
+TEST_CASE("MembershipLease: probes are limited by the number of calls, for any number of workers",
           "[lease-renewal]") {
   const int workers = GENERATE(11, 60, 240);
   Settings s = settings_without_probes(30);
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -16,7 +16,7 @@
   return settings;
 }
 
-TEST_CASE("LoadReports: a queue is better than what is in flight", "[load-reports]") {
+TEST_CASE("LoadReports: the queue length is preferred to the number in flight", "[load-reports]") {
   Settings settings = test::settings();
   settings.report_fields = {ReportField::queue, ReportField::inflight};
   Parts parts(settings);
@@ -26,7 +26,7 @@
   CHECK(parts.reports.reported_at(worker) == parts.now);
 }
 
-TEST_CASE("LoadReports: of what is in flight some are in service", "[load-reports]") {
+TEST_CASE("LoadReports: requests in service are subtracted from those in flight", "[load-reports]") {
   Parts parts(with_peers());
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.reports.record(worker, std::vector<double>{10, 99}, parts.now);
@@ -37,7 +37,7 @@
   CHECK(parts.reports.reported_at(worker) == parts.now);
 }
 
-TEST_CASE("LoadReports: one's own are passed on and those of peers are not", "[load-reports]") {
+TEST_CASE("LoadReports: own reports are sent to peers, received ones are not", "[load-reports]") {
   Parts parts(with_peers());
   const WorkerIndex own = parts.add_worker(entry("a"));
   const WorkerIndex received = parts.add_worker(entry("b"));
@@ -53,7 +53,7 @@
   CHECK(records[1].value == 6);
 }
 
-TEST_CASE("LoadReports: a busy invoker counts its share", "[load-reports]") {
+TEST_CASE("LoadReports: the relative demand of a busy invoker is above 1", "[load-reports]") {
   Parts parts(with_peers());
   CHECK(parts.reports.relative_demand(parts.now) == 1);
   parts.reports.record_peer_requests(10);
--- a/tests/policy/membership_lease_test.cpp
+++ b/tests/policy/membership_lease_test.cpp
@@ -5,12 +5,12 @@
 
 #include "policy_harness.h"
 
-// The incident of 2026-12-02 (docs/incidents/2026-12-02-membership-outage.md). What users saw: little, as the
-// workers turned the calls away; but a rule of the platform was broken 896 times. Order of events: the
-// membership log went out of reach; two busy workers began to drain 0.6 s later and stayed up; 10 s later the
-// log came back. Cause: the module used the last list without limit, whatever its age. Evidence: no event was
-// applied before the outage's end, `hosts.answers.full` stayed high all the time, and the workers recorded
-// the calls and orders.
+// Guards against sending work to draining workers while the membership log is unreachable, as in the incident
+// of 2026-12-02 (docs/incidents/2026-12-02-membership-outage.md). Two busy workers began to drain 0.6 s after
+// the start of a 10 s outage and stayed up. The module used the last list without an age limit and broke a
+// rule of the platform 896 times. Users noticed little, as the workers rejected the calls. Evidence: no event
+// was applied before the end of the outage, `hosts.answers.full` stayed high throughout, and the workers
+// recorded the calls and load orders.
 namespace pathstack::policy::test {
 namespace {
 
@@ -21,8 +21,8 @@
   return s;
 }
 
-/// An invoker with two ready workers, each with a warm instance of function 1; the list has just become
-/// stale.
+/// An invoker with two ready workers, each with a warm instance of function 1. The lease on the list has just
+/// expired.
 class StaleListTest {
  protected:
   explicit StaleListTest(const Settings& s = settings_with_probes()) : invoker(s) {
@@ -50,18 +50,19 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(StaleListTest, "MembershipLease: a stale list sends nothing to a worker that was not asked",
+TEST_CASE_METHOD(StaleListTest,
+                 "MembershipLease: with a stale list, no call goes to a worker that was not probed",
                  "[membership-lease]") {
   invoker.request("r2");
   CHECK(invoker.sends.empty());
   CHECK(invoker.loads.empty());
   REQUIRE(invoker.probes.size() == 1);
-  SECTION("one that is well gets the call at once") {
+  SECTION("a healthy worker gets the call at once") {
     probed(invoker.probes[0], Outcome::ok);
     REQUIRE(invoker.sends.size() == 1);
     CHECK(invoker.sends[0].worker == invoker.probes[0]);
   }
-  SECTION("one that drains gets none; the other is asked at once") {
+  SECTION("a draining worker gets no call; the other one is probed at once") {
     probed(invoker.probes[0], Outcome::error);
     CHECK(invoker.sends.empty());
     REQUIRE(invoker.probes.size() == 2);
@@ -70,12 +71,12 @@
     REQUIRE(invoker.sends.size() == 1);
     CHECK(invoker.sends[0].worker == invoker.probes[1]);
   }
-  SECTION("one that says nothing is passed over") {
+  SECTION("if a worker does not answer, the other one is probed") {
     invoker.pass(140);
     REQUIRE(invoker.probes.size() == 2);
     CHECK(invoker.probes[1] != invoker.probes[0]);
   }
-  SECTION("a fault of this machine is no word of the worker") {
+  SECTION("a local fault does not count against the worker") {
     probed(invoker.probes[0], Outcome::not_sent);
     probed(invoker.probes[1], Outcome::not_sent);
     invoker.pass(100);
@@ -83,14 +84,14 @@
     probed(invoker.probes[2], Outcome::ok);
     CHECK(invoker.sends.size() == 1);
   }
-  SECTION("a list that is current again needs no answer") {
+  SECTION("no answer is needed once the list is current again") {
     invoker.give(event::ListLease{invoker.now + Millis(4000)});
     CHECK(invoker.sends.size() == 1);
   }
 }
 
 TEST_CASE_METHOD(StaleListTest,
-                 "MembershipLease: a word lasts a part of the grace, from when the worker was asked",
+                 "MembershipLease: a lease lasts a part of the drain grace, from the sending of the probe",
                  "[membership-lease]") {
   invoker.request("r2");
   REQUIRE(invoker.probes.size() == 1);
@@ -104,7 +105,7 @@
 }
 
 TEST_CASE_METHOD(StaleListTest,
-                 "MembershipLease: what a worker has accepted vouches for it from when it was sent",
+                 "MembershipLease: accepted work renews the lease from the time when it was sent",
                  "[membership-lease]") {
   invoker.list({entry("b", WorkerState::gone)}, ListKind::delta);
   invoker.request("r2");
@@ -121,7 +122,7 @@
 }
 
 TEST_CASE_METHOD(StaleListTest,
-                 "MembershipLease: a worker that turned a call away is asked before the next one",
+                 "MembershipLease: a worker that rejected a call is probed before the next one",
                  "[membership-lease]") {
   invoker.request("r2");
   const std::string worker = invoker.probes.at(0);
@@ -135,7 +136,7 @@
   CHECK(sent_there() == 1);
 }
 
-TEST_CASE_METHOD(StaleListTest, "MembershipLease: no load order goes to a worker that was not asked",
+TEST_CASE_METHOD(StaleListTest, "MembershipLease: no load order goes to a worker that was not probed",
                  "[membership-lease]") {
   invoker.request("r2", 2);
   CHECK(invoker.loads.empty());
@@ -145,14 +146,15 @@
   CHECK(invoker.loads[0].worker == invoker.probes[0]);
 }
 
-// Found with the incident: a worker that drained and was started anew while the log was out of reach got the
-// load of a warm one, though its start counts as told.
-TEST_CASE_METHOD(StaleListTest, "MembershipLease: a process that was replaced unheard warms up, and is empty",
+// Guards against a fault found with the incident: a worker that drained and restarted while the log was
+// unreachable got the load of a warm worker, although its start counts as published.
+TEST_CASE_METHOD(StaleListTest,
+                 "MembershipLease: a process replaced during the outage warms up and has no instances",
                  "[membership-lease]") {
   invoker.list({entry("b", WorkerState::gone)}, ListKind::delta);
   invoker.request("r2");
   REQUIRE(invoker.probes.size() == 1);
-  SECTION("it was not well before") {
+  SECTION("it was unhealthy before") {
     probed("a", Outcome::error);
     invoker.pass(1100);
     invoker.request("r3");
@@ -163,7 +165,7 @@
     invoker.give(event::ConnectionsLost{"a"});
     probed("a", Outcome::ok);
   }
-  CHECK(invoker.sends.empty());  // the instance went with the process
+  CHECK(invoker.sends.empty());  // the instance was lost with the process
   for (int i = 4; i < 40; ++i) {
     invoker.request("r" + std::to_string(i), static_cast<std::uint64_t>(i));
     probed("a", Outcome::ok);
@@ -172,7 +174,7 @@
   CHECK(work_sent <= 5);
 }
 
-TEST_CASE("MembershipLease: connections lost while the list is current change nothing",
+TEST_CASE("MembershipLease: losing connections while the list is current has no effect",
           "[membership-lease]") {
   Invoker invoker(settings_with_probes());
   invoker.list({entry("a")});
@@ -206,10 +208,10 @@
   CHECK(invoker.sends.size() == 2);
   CHECK(invoker.probes.empty());
   invoker.pass(1200);
-  CHECK(invoker.refused == std::vector<std::string>{"r3"});  // at its objective, not at its deadline
+  CHECK(invoker.refused == std::vector<std::string>{"r3"});  // at its latency objective, not at its deadline
 }
 
-TEST_CASE("MembershipLease: while the list is current nobody is asked", "[membership-lease]") {
+TEST_CASE("MembershipLease: no worker is probed while the list is current", "[membership-lease]") {
   Invoker invoker(settings_with_probes());
   invoker.list({entry("a")});
   invoker.give(event::ListLease{invoker.now + Millis(4000)});
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -13,7 +13,7 @@
   return settings;
 }
 
-TEST_CASE("OutlierDetector: two failures of a class eject it alone", "[outlier-detector]") {
+TEST_CASE("OutlierDetector: two failures of a class eject only that class", "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.record_failure(worker, 0, parts.now);
@@ -24,7 +24,7 @@
   CHECK(parts.outliers.is_usable(worker, parts.now));
 }
 
-TEST_CASE("OutlierDetector: after an ejection the class is half open and a relapse lasts twice as long",
+TEST_CASE("OutlierDetector: an ejected class is half-open afterwards, and a relapse doubles the ejection",
           "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
@@ -46,7 +46,7 @@
   CHECK(parts.outliers.serves_class(worker, 0, parts.now));
 }
 
-TEST_CASE("OutlierDetector: a worker that answers nothing is silent and loads are allowed for",
+TEST_CASE("OutlierDetector: a worker that sends no answer is silent, with extra time for loads",
           "[outlier-detector]") {
   Settings settings = test::settings();
   settings.invokers = 100;
@@ -54,7 +54,7 @@
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.workers.attempt_started(worker, false, parts.now);
   parts.now += Millis(1000);
-  UNSCOPED_INFO("all in flight may wait for a load");
+  UNSCOPED_INFO("all attempts in flight may be waiting for a load");
   CHECK_FALSE(parts.outliers.is_silent(worker, parts.now));
   parts.workers.attempt_started(worker, true, parts.now);
   CHECK(parts.outliers.is_silent(worker, parts.now));
@@ -63,7 +63,7 @@
   CHECK_FALSE(parts.outliers.is_silent(worker, parts.now));
 }
 
-TEST_CASE("OutlierDetector: a broken connection makes its worker suspect until a probe is answered",
+TEST_CASE("OutlierDetector: a worker is suspect after a broken connection until it answers a probe",
           "[outlier-detector]") {
   Parts parts(with_probes());
   const WorkerIndex worker = parts.add_worker(entry("a"));
@@ -76,7 +76,7 @@
   CHECK_FALSE(parts.outliers.is_down(worker));
 }
 
-TEST_CASE("OutlierDetector: three lost probes mark a worker down and its instances gone",
+TEST_CASE("OutlierDetector: three lost probes mark a worker down and its instances as gone",
           "[outlier-detector]") {
   Parts parts(with_probes());
   const WorkerIndex worker = parts.add_worker(entry("a"));
@@ -90,12 +90,12 @@
   CHECK(parts.outliers.is_down(worker));
   CHECK(instance.loaded == 0);
   CHECK(parts.emitted_of<action::Probe>().size() == 3U);
-  UNSCOPED_INFO("it is back, as another process");
+  UNSCOPED_INFO("the worker is back with a new process");
   CHECK(parts.outliers.note_alive(worker, parts.now));
   CHECK_FALSE(parts.outliers.note_alive(worker, parts.now));
 }
 
-TEST_CASE("OutlierDetector: peers are notified once of a loss", "[outlier-detector]") {
+TEST_CASE("OutlierDetector: peers are notified of a lost worker once", "[outlier-detector]") {
   Settings settings = test::settings();
   settings.peer_messages = true;
   settings.invokers = 2;
@@ -106,8 +106,7 @@
   CHECK(parts.emitted_of<action::SendPeerMessage>().size() == 1U);
 }
 
-TEST_CASE("OutlierDetector: a peer's word does not outweigh an answer of a moment ago",
-          "[outlier-detector]") {
+TEST_CASE("OutlierDetector: a recent answer takes precedence over a peer's report", "[outlier-detector]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.note_alive(worker, parts.now);
--- a/tests/policy/policy_clock_test.cpp
+++ b/tests/policy/policy_clock_test.cpp
@@ -1,4 +1,4 @@
-// Warm-up of workers when the wall clock that stamps their starts is stepped.
+// Warm-up of workers when the wall clock behind their start stamps is stepped.
 #include <catch2/catch.hpp>
 
 #include "policy_harness.h"
@@ -11,10 +11,10 @@
 
 std::string worker_name(int number) { return "w" + std::to_string(number); }
 
-/// Plays a day of twelve phases of 4 s on four workers. In phases 2, 5 and 8 a worker restarts, in phases 3
-/// and 9 a new one starts, in phase 6 the full list is sent again. From `stepped_at` on the clock that
-/// stamps starts is off by `step`. Returns what the invoker did.
-std::string play_day(int stepped_at, Millis step) {
+/// Simulates twelve phases of 4 s with four workers. In phases 2, 5, 8 and 11 a worker restarts, in phases 3
+/// and 9 a new one starts, and in phase 6 the full list is sent again. From phase `stepped_at` on, the clock
+/// that stamps the starts is off by `step`. Returns the actions of the invoker as text.
+std::string run_phases(int stepped_at, Millis step) {
   Settings s = settings();
   s.invokers = 2;
   Invoker r(s);
@@ -57,18 +57,18 @@
   return actions;
 }
 
-TEST_CASE("SteppedClock: changes no action from any phase of the day on", "[stepped-clock]") {
-  const std::string steady = play_day(kPhases, Millis(0));
+TEST_CASE("SteppedClock: a step in any phase changes no action", "[stepped-clock]") {
+  const std::string steady = run_phases(kPhases, Millis(0));
   REQUIRE(steady.size() > 1000U);
   for (const double step : {-3600e3, -5e3, 5e3, 3600e3}) {
     for (int phase = 0; phase < kPhases; ++phase) {
       UNSCOPED_INFO(step << " ms from phase " << phase << " on");
-      CHECK(play_day(phase, Millis(step)) == steady);
+      CHECK(run_phases(phase, Millis(step)) == steady);
     }
   }
 }
 
-/// Calls sent in `seconds` at ten a second, each answered at once.
+/// Makes ten calls per second, each answered at once, for `seconds`. Returns the number of attempts sent.
 std::size_t sent_within(Invoker& r, int seconds, const std::string& stem) {
   const std::size_t before = r.sends.size();
   for (int i = 0; i < seconds * 10; ++i) {
@@ -80,7 +80,7 @@
   return r.sends.size() - before;
 }
 
-TEST_CASE("SteppedClock: a restart stamped before the last one is a restart", "[stepped-clock]") {
+TEST_CASE("SteppedClock: a start stamp before the last one is a restart", "[stepped-clock]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
@@ -91,7 +91,8 @@
   CHECK(sent_within(r, 3, "after") <= usual * 2 / 3);
 }
 
-TEST_CASE("SteppedClock: a stamp ahead of the clock in the first list counts as now", "[stepped-clock]") {
+TEST_CASE("SteppedClock: a stamp in the first list that is ahead of the clock counts as now",
+          "[stepped-clock]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
@@ -100,9 +101,10 @@
   CHECK(sent_within(r, 3, "x") >= 28U);
 }
 
-// Failure found in review: an invoker is started with all events so far, one list each; those after the first
-// made every worker that had ever restarted look as if it did so just now.
-TEST_CASE("SteppedClock: starts in the events known at the start count by their stamps", "[stepped-clock]") {
+// Guards against a fault found in review: an invoker starts with all past events, as one list each. The lists
+// after the first made every worker that had ever restarted appear to have restarted just now.
+TEST_CASE("SteppedClock: starts in the events known when the invoker starts count by their stamps",
+          "[stepped-clock]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
@@ -112,7 +114,8 @@
   CHECK(sent_within(r, 3, "x") >= 28U);
 }
 
-TEST_CASE("SteppedClock: an entry without a stamp or with the same one is no restart", "[stepped-clock]") {
+TEST_CASE("SteppedClock: an entry without a stamp or with an unchanged one is no restart",
+          "[stepped-clock]") {
   Settings s = settings();
   s.rejects_on_miss = true;
   Invoker r(s);
--- a/tests/policy/policy_local_fault_test.cpp
+++ b/tests/policy/policy_local_fault_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes that come from this machine or of the network, and not of the worker: not_sent and unreachable.
+// Outcomes caused by this machine or the network instead of the worker: not_sent and unreachable.
 #include <catch2/catch.hpp>
 
 #include "policy_harness.h"
@@ -6,7 +6,7 @@
 namespace pathstack::policy::test {
 namespace {
 
-/// Workers load what they lack by themselves, so that every request is sent somewhere at once.
+/// Workers that load missing functions by themselves, so that every request is sent at once.
 Settings self_loading() {
   Settings s = settings();
   s.rejects_on_miss = true;
@@ -18,7 +18,7 @@
   r.answer(action::Send(r.sends.back()), Outcome::ok);
 }
 
-TEST_CASE("NotSent: goes to another worker at once and counts as no attempt", "[not-sent]") {
+TEST_CASE("NotSent: the request goes to another worker at once and no attempt is counted", "[not-sent]") {
   for (const char* cls : {"safe", "keyed", "unsafe"}) {
     Settings s = self_loading();
     s.max_attempts = 1;
@@ -36,7 +36,7 @@
   }
 }
 
-TEST_CASE("NotSent: goes to the only worker after a backoff", "[not-sent]") {
+TEST_CASE("NotSent: the request goes to the only worker again after a backoff", "[not-sent]") {
   Settings s = self_loading();
   s.max_attempts = 1;
   Invoker r(s);
@@ -50,8 +50,9 @@
   CHECK(r.sends[2].id == "x");
 }
 
-// A worker is judged by none of them: it is not ejected, probed, or taken for silent or slowed down.
-TEST_CASE("NotSent: says nothing of the worker", "[not-sent]") {
+// An attempt that was not sent has no effect on the worker: the worker is not ejected, probed, or taken for
+// silent or slow.
+TEST_CASE("NotSent: does not count against the worker", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
   s.peer_messages = true;
@@ -76,22 +77,22 @@
   CHECK((r.failed.empty() && r.refused.empty()));
 }
 
-// A worker that answers nothing is as silent as before, though calls to it fail to leave meanwhile.
-TEST_CASE("NotSent: is no sign of life", "[not-sent]") {
+// A worker that sends no answer becomes silent, although further calls to it are not sent meanwhile.
+TEST_CASE("NotSent: does not count as activity of the worker", "[not-sent]") {
   Invoker r(self_loading());
   r.list({entry("a")});
   warm_up(r);
   r.request("out");
   r.request("x");
   std::size_t seen = 2;
-  for (; r.now < Millis(1640); r.pass(20)) {  // 600 ms, six runs, count as silence
+  for (; r.now < Millis(1640); r.pass(20)) {  // silent after 600 ms, six run times
     for (; seen < r.sends.size(); ++seen) r.answer(action::Send(r.sends[seen]), Outcome::not_sent);
   }
   CHECK(seen >= 10U);
   CHECK(r.policy.statistics().at("now.unusable") == 1);
 }
 
-TEST_CASE("NotSent: returns what it took of the budget of a warming worker", "[not-sent]") {
+TEST_CASE("NotSent: refunds the budget of a warming worker", "[not-sent]") {
   const auto served = [](int faults) {
     Invoker r(self_loading());
     r.list({entry("a", WorkerState::ready, 990)});
@@ -108,10 +109,10 @@
     }
     return ok;
   };
-  CHECK(served(10) >= served(0) - 5);  // ten backoffs take the time of a few calls, not their budget
+  CHECK(served(10) >= served(0) - 5);  // ten backoffs cost the time of a few calls, but no budget
 }
 
-TEST_CASE("NotSent: a lasting fault does not spin", "[not-sent]") {
+TEST_CASE("NotSent: a lasting fault causes no busy loop", "[not-sent]") {
   constexpr int kRequests = 10;
   for (const bool shared : {false, true}) {
     Settings s = self_loading();
@@ -122,12 +123,12 @@
     r.list(workers);
     for (int i = 0; i < kRequests; ++i) r.request("x" + std::to_string(i), static_cast<std::uint64_t>(i));
     for (std::size_t answered = 0; r.now < Millis(3000); r.pass(5)) {
-      // Faults that come in the same moment as what they answer must end by themselves.
+      // Faults reported at the same time as the attempt must not cause an endless series of attempts.
       for (; answered < r.sends.size() && answered < 100000; ++answered) {
         r.answer(action::Send(r.sends[answered]), Outcome::not_sent, 0);
       }
     }
-    // Each request lives for its latency objective of 1000 ms and is sent three times in each 40 ms at most.
+    // Each request is kept until its latency objective of 1000 ms and sent at most three times in each 40 ms.
     CHECK(r.sends.size() <= kRequests * 3U * 26U);
     CHECK(r.sends.size() >= kRequests * 10U);
     CHECK(r.refused.size() == static_cast<std::size_t>(kRequests));
@@ -135,8 +136,7 @@
   }
 }
 
-TEST_CASE("NotSent: an order is given again after a backoff and takes nothing from the load budget",
-          "[not-sent]") {
+TEST_CASE("NotSent: a load order is sent again after a backoff and uses no load budget", "[not-sent]") {
   Settings s = settings();
   s.load_window = Millis(5000);
   s.load_floor = 1;
@@ -146,7 +146,7 @@
   REQUIRE(r.loads.size() == 1U);
   for (std::size_t i = 1; i <= 3; ++i) {
     r.loaded("a", 1, 0, Outcome::not_sent);
-    UNSCOPED_INFO("none at once");
+    UNSCOPED_INFO("not sent again at once");
     REQUIRE(r.loads.size() == i);
     r.pass(80);
     REQUIRE(r.loads.size() == i + 1);
@@ -155,7 +155,7 @@
   CHECK(r.sends.size() == 1U);
 }
 
-TEST_CASE("NotSent: an order leaves its instance known as warm", "[not-sent]") {
+TEST_CASE("NotSent: a load order leaves the instance marked as warm", "[not-sent]") {
   Invoker r;
   r.list({entry("a")});
   r.request("x", 1, "safe", 4000, 1);
@@ -165,11 +165,11 @@
   r.loaded("a", 1, 0, Outcome::not_sent);
   r.pass(100);
   r.request("y", 1, "safe", 4000, 1);
-  UNSCOPED_INFO("the instance still stands");
+  UNSCOPED_INFO("the instance is still loaded");
   CHECK(r.sends.size() == 2U);
 }
 
-TEST_CASE("NotSent: a suspect worker stays suspect until its probe has left", "[not-sent]") {
+TEST_CASE("NotSent: a suspect worker stays suspect until its probe is sent", "[not-sent]") {
   for (const Outcome then : {Outcome::ok, Outcome::reset}) {
     Settings s = self_loading();
     s.probes = true;
@@ -182,14 +182,14 @@
     for (int i = 0; i < 10; ++i) {
       const std::size_t asked = r.probes.size();
       r.give(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
-      UNSCOPED_INFO("none at once");
+      UNSCOPED_INFO("not sent again at once");
       CHECK(r.probes.size() == asked);
       r.pass(80);
       REQUIRE(r.probes.size() == asked + 1);
-      UNSCOPED_INFO("nothing goes to a suspect worker");
+      UNSCOPED_INFO("nothing is sent to a suspect worker");
       CHECK(r.sends.size() == 2U);
     }
-    // Three probes that have left are needed to mark it down, one that is answered to clear it.
+    // It takes three sent and lost probes to mark the worker down, and one answered probe to clear it.
     r.give(event::ProbeEnded{"a", then, Millis(1), std::nullopt});
     r.pass(40);
     const bool clear = then == Outcome::ok;
@@ -198,13 +198,13 @@
   }
 }
 
-TEST_CASE("NotSent: a probe that did not leave says nothing", "[not-sent]") {
+TEST_CASE("NotSent: a probe that was not sent has no effect", "[not-sent]") {
   Settings s = self_loading();
   s.probes = true;
   Invoker r(s);
   r.list({entry("a")});
   warm_up(r);
-  r.pass(2000);  // it has not answered for so long that a failed probe would count as a loss
+  r.pass(2000);  // long enough without an answer for a failed probe to mark the worker down
   r.give(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
   r.pass(100);
   CHECK(r.probes.empty());
@@ -215,7 +215,7 @@
   }
 }
 
-TEST_CASE("Unreachable: may have run and makes its worker suspect", "[unreachable]") {
+TEST_CASE("Unreachable: the attempt may have run, and the worker is suspect", "[unreachable]") {
   for (const char* cls : {"safe", "unsafe"}) {
     Settings s = self_loading();
     s.probes = true;
@@ -235,9 +235,9 @@
   }
 }
 
-// A reset of a worker that answered a moment ago says that its process died: when it answers again it is
-// warming up. That the network gave up does not, with probes or without.
-TEST_CASE("Unreachable: is no restart", "[unreachable]") {
+// A reset by a worker that answered recently shows that its process died, so that it is warming up when it
+// answers again. A connection that the network gave up does not show this, with or without probes.
+TEST_CASE("Unreachable: does not count as a restart", "[unreachable]") {
   const auto sent_after = [](Outcome outcome, bool probes) {
     Settings s = self_loading();
     s.probes = probes;
--- a/tests/policy/simulated_fleet.h
+++ b/tests/policy/simulated_fleet.h
@@ -1,4 +1,4 @@
-// A small fleet for tests of the decision module: workers that serve, drain, or answer wrongly.
+/// Simulated fleet for tests of the decision module, with workers that serve, drain or give useless answers.
 #pragma once
 
 #include <algorithm>
@@ -17,8 +17,9 @@
 inline constexpr double kStep = 2;                      // ms
 inline constexpr double kShortRun = 15, kLongRun = 40;  // ms
 
-/// One invoker and its workers, which answer calls after their run and load orders after one step, and turn
-/// both away while they drain. Checks that nothing is sent past the grace after a drain, heard or not.
+/// One invoker and its workers. Workers answer calls after their run time and load orders after one step, and
+/// reject both while they drain. Counts calls and load orders sent to a worker later than the drain grace
+/// after the start of its drain.
 class SimulatedFleet {
  public:
   SimulatedFleet(const Settings& s, int workers, double calls_per_second)
@@ -30,9 +31,9 @@
 
   void renew_list() { invoker_.give(event::ListLease{invoker_.now + Millis(3750)}); }
   void begin_outage() { invoker_.give(event::ListLease{invoker_.now}); }
-  /// The worker answers every call so from now on, and runs none.
+  /// From now on the worker answers every call with `outcome` without running it.
   void answer_with(const std::string& worker, Outcome outcome) { outcomes_[worker] = outcome; }
-  /// The probes sent so far are answered: the worker says that it is well.
+  /// If any probes were sent, ends them with one healthy answer of `worker`.
   void answer_probes(const std::string& worker) {
     if (std::exchange(probes, 0) > 0) {
       invoker_.give(event::ProbeEnded{worker, Outcome::ok, Millis(1), std::nullopt});
@@ -45,9 +46,9 @@
 
   Invoker& invoker() { return invoker_; }
   int calls = 0, served = 0, orders = 0, sends = 0, sends_past_grace = 0, probes = 0;
-  bool answers_probes = false;                                  // by what the worker is, in the next step
-  std::uint64_t functions = 6;                                  // that calls name
-  std::set<std::string> used;                                   // workers that calls were sent to
+  bool answers_probes = false;  // in the next step, according to the worker's state
+  std::uint64_t functions = 6;  // number of functions that are called
+  std::set<std::string> used;   // workers to which calls were sent
   std::map<std::pair<std::string, std::string>, int> attempts;  // by call and worker
 
  private:
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::policy::test {
 namespace {
 
-TEST_CASE("SlowStart: lasts from the start for the time of the settings", "[slow-start]") {
+TEST_CASE("SlowStart: lasts for the configured duration from the start of the worker", "[slow-start]") {
   Parts parts;
   const WorkerIndex old = parts.add_worker(entry("old"));
   const WorkerIndex fresh = parts.add_worker(entry("new", WorkerState::ready, 990));
@@ -16,7 +16,7 @@
   CHECK_FALSE(parts.slow_start.is_warming_up(fresh, Millis(990) + parts.settings.slow_start_duration));
 }
 
-TEST_CASE("SlowStart: begins anew when a worker that was down answers", "[slow-start]") {
+TEST_CASE("SlowStart: starts over when a worker that was down answers", "[slow-start]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   parts.outliers.connection_failed(worker, true, parts.now);
@@ -28,14 +28,14 @@
   CHECK_FALSE(parts.slow_start.is_warming_up(worker, parts.now + parts.settings.slow_start_duration));
 }
 
-TEST_CASE("SlowStart: a warm worker is not limited and not charged", "[slow-start]") {
+TEST_CASE("SlowStart: a warm worker is neither limited nor charged", "[slow-start]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a"));
   CHECK(parts.slow_start.has_budget(worker, 1e9, parts.now));
   CHECK(parts.slow_start.charge(worker, 100, parts.now) == 0);
 }
 
-TEST_CASE("SlowStart: a budget is spent and fills with time", "[slow-start]") {
+TEST_CASE("SlowStart: a budget is used up and refills over time", "[slow-start]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a", WorkerState::ready, 990));
   double sent = 0;
@@ -43,13 +43,14 @@
     if (!parts.slow_start.has_budget(worker, 100, parts.now)) continue;
     sent += parts.slow_start.charge(worker, 100, parts.now);
   }
-  // Ten seconds in which a core grows from 0.16 to 0.68 of itself, 2.5 times that, of which 0.6 are used.
+  // Ten seconds, in which the capacity share rises from 0.16 to 0.68, with a mean of 0.42, times the allowed
+  // overload of 2.5. Of this, the budget uses 0.6.
   const double allowed = 2.5 * 0.42 * 10000;
   CHECK(sent <= allowed);
   CHECK(sent >= 0.5 * allowed);
 }
 
-TEST_CASE("SlowStart: what was not sent is returned", "[slow-start]") {
+TEST_CASE("SlowStart: the cost of an attempt that was not sent is refunded", "[slow-start]") {
   Parts parts;
   const WorkerIndex worker = parts.add_worker(entry("a", WorkerState::ready, 990));
   while (!parts.slow_start.has_budget(worker, 100, parts.now)) parts.now += Millis(10);
@@ -60,7 +61,8 @@
   CHECK(parts.slow_start.has_budget(worker, 100, parts.now));
 }
 
-TEST_CASE("SlowStart: a spent budget asks for the core use of a warm worker now and then", "[slow-start]") {
+TEST_CASE("SlowStart: a used-up budget probes a warm worker for its CPU utilisation occasionally",
+          "[slow-start]") {
   Settings settings = test::settings();
   settings.probes = true;
   settings.reports = ReportMode::probe;
--- a/tests/policy/worker_table_test.cpp
+++ b/tests/policy/worker_table_test.cpp
@@ -25,20 +25,22 @@
   Millis now{100000};
 };
 
-TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a full list leaves out who is gone", "[worker-table]") {
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a worker that a full list does not name is gone",
+                 "[worker-table]") {
   CHECK(apply({entry("a"), entry("b")}, ListKind::full) == (std::vector<Kind>{Kind::added, Kind::added}));
   CHECK(apply({entry("b")}, ListKind::full) == std::vector<Kind>{Kind::left});
   CHECK(table.find("a")->state == WorkerState::gone);
   CHECK(table.find("b")->state == WorkerState::ready);
 }
 
-TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a delta leaves the others alone", "[worker-table]") {
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: a delta does not change workers that it does not name",
+                 "[worker-table]") {
   apply({entry("a"), entry("b")}, ListKind::full);
   CHECK(apply({entry("b", WorkerState::draining)}) == std::vector<Kind>{Kind::left});
   CHECK(table.find("a")->state == WorkerState::ready);
 }
 
-TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: any change of a stamp is a restart that counts from now",
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: any change of a start stamp is a restart dated now",
                  "[worker-table]") {
   apply({entry("a", WorkerState::ready, 50000)}, ListKind::full);
   CHECK(table.find("a")->started_at == Millis(50000));
@@ -52,9 +54,10 @@
   CHECK(apply({entry("a", WorkerState::ready, 9e9)}).empty());
 }
 
-TEST_CASE_METHOD(WorkerTableTest,
-                 "WorkerTable: an index is used again once its worker is long gone and nothing is in flight",
-                 "[worker-table]") {
+TEST_CASE_METHOD(
+    WorkerTableTest,
+    "WorkerTable: an index is reused after its worker is gone for the prune time with nothing in flight",
+    "[worker-table]") {
   apply({entry("a"), entry("b")}, ListKind::full);
   const WorkerIndex index = table.find("a")->index;
   table.attempt_started(index, true, now);
@@ -70,7 +73,7 @@
   CHECK(table.all().size() == 2U);
 }
 
-TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: is heard from when its first attempt is sent",
+TEST_CASE_METHOD(WorkerTableTest, "WorkerTable: the first attempt in flight counts as activity",
                  "[worker-table]") {
   apply({entry("a")});
   table.attempt_started(0, true, Millis(5));
