--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -80,8 +80,8 @@
   }
   if (now - record.limit_lowered_at <= kBackoff) return;
   record.limit_lowered_at = now;
-  const double least = has_many_invokers(settings_) ? kMinLimitManyInvokers : kMinLimit;
-  record.limit = std::max(least, record.limit * kLimitDecrease);
+  const double min_limit = has_many_invokers(settings_) ? kMinLimitManyInvokers : kMinLimit;
+  record.limit = std::max(min_limit, record.limit * kLimitDecrease);
 }
 
 void ConcurrencyLimit::record_full(WorkerIndex worker, Millis now) {
--- a/src/policy/lease_renewal.cpp
+++ b/src/policy/lease_renewal.cpp
@@ -110,7 +110,7 @@
   const double left = std::min(order_budget_.left(now), kMaxOrdersLogged);
   actions_.emit(action::Log{"worker.lease_lost worker=" + workers_[worker].worker +
                             " accepted_ms=" + age(lease_.accepted_at(worker)) +
-                            " sent_ms=" + age(record.sent_at) + " ordered_ms=" + age(record.ordered_at) +
+                            " sent_ms=" + age(record.sent_at) + " ordered_ms=" + age(record.last_order_at) +
                             " orders_left=" + std::to_string(static_cast<int>(left)) +
                             " kept=" + std::to_string(kept_.size())});
 }
@@ -132,8 +132,8 @@
 void LeaseRenewal::choose_kept_workers(Millis now) {
   const auto is_healthy = [&](WorkerIndex worker) { return outliers_.is_healthy(worker, now); };
   auto healthy = static_cast<std::size_t>(std::count_if(kept_.begin(), kept_.end(), is_healthy));
-  const std::size_t most = target_kept_count(now);
-  while (healthy < most) {
+  const std::size_t target = target_kept_count(now);
+  while (healthy < target) {
     const Worker* best = nullptr;
     for (const Worker& worker : workers_.all()) {
       if (lease_.is_kept(worker.index) || !may_keep(worker.index, now)) continue;
@@ -153,12 +153,12 @@
   const bool is_due = lease_.has_rejected_work(worker) || now >= due;
   if (!is_due) set_timer(due, now);
   Record& record = records_[worker];
-  if (!settings_.load_orders || !is_due || now - record.order_at <= kOrderAnswerTimeout) return;
+  if (!settings_.load_orders || !is_due || now - record.pending_since <= kOrderAnswerTimeout) return;
   if (order_budget_.left(now) < 1 + reserved) return;
   const Function* function = loaded_function(worker, now);
   if (function == nullptr) return;
-  record.order_at = record.ordered_at = now;
-  record.order_function = function->id;
+  record.pending_since = record.last_order_at = now;
+  record.pending_function = function->id;
   order_budget_.order_sent(now);
   ++orders_sent_;
   actions_.emit(action::Load{workers_[worker].worker, function->id, 1});
@@ -174,11 +174,11 @@
 
 void LeaseRenewal::order_ended(WorkerIndex worker, const event::LoadEnded& order, Millis now) {
   Record& record = records_[worker];
-  if (record.order_at <= kNever || record.order_function != order.function) return;
-  if (order.outcome == Outcome::not_sent) order_budget_.order_not_sent(record.order_at);
+  if (record.pending_since <= kNever || record.pending_function != order.function) return;
+  if (order.outcome == Outcome::not_sent) order_budget_.order_not_sent(record.pending_since);
   // The function was loaded there and needed no more memory, so the worker is not full but drains.
   if (order.outcome == Outcome::full) lease_.revoke(worker);
-  record.order_at = kNever;
+  record.pending_since = kNever;
   update(now);
 }
 
--- a/src/policy/lease_renewal.h
+++ b/src/policy/lease_renewal.h
@@ -66,10 +66,10 @@
 
  private:
   struct Record {
-    Millis sent_at{kNever};     // of the last attempt
-    Millis order_at{kNever};    // of the renewal in flight; kNever: none
-    Millis ordered_at{kNever};  // of the last renewal, ended or not
-    std::uint64_t order_function = 0;
+    Millis sent_at{kNever};        // of the last attempt
+    Millis pending_since{kNever};  // of the renewal in flight; kNever: none
+    Millis last_order_at{kNever};  // of the last renewal, ended or not
+    std::uint64_t pending_function = 0;
   };
 
   const Settings& settings_;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -171,10 +171,10 @@
 
 void OutlierDetector::probe_failed(WorkerIndex worker, Outcome outcome, Millis now) {
   Record& record = records_[worker];
-  const Millis asked_at = std::exchange(record.suspect_since, kNever);
-  const bool suspect = asked_at > kNever;
+  const Millis probe_sent_at = std::exchange(record.suspect_since, kNever);
+  const bool suspect = probe_sent_at > kNever;
   // New connections may be reset although the process runs: an answer since the probe proves that it runs.
-  const bool answered_since = record.answered_at > asked_at;
+  const bool answered_since = record.answered_at > probe_sent_at;
   if (outcome == Outcome::not_sent) {
     if (!suspect || answered_since) return;
     record.suspect_since = now;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -70,8 +70,9 @@
     budget.tokens += pace * (now - budget.filled_at).count();
   }
   budget.filled_at = now;
-  const double most = std::max(work, pace * settings_.cold_overload_window.count() / kWindowsPerSavedBudget);
-  budget.tokens = std::min(budget.tokens, most);
+  const double max_tokens =
+      std::max(work, pace * settings_.cold_overload_window.count() / kWindowsPerSavedBudget);
+  budget.tokens = std::min(budget.tokens, max_tokens);
   if (budget.tokens < work) probe_utilisation(now);
   return budget.tokens >= work;
 }
--- a/tests/policy/membership_lease_test.cpp
+++ b/tests/policy/membership_lease_test.cpp
@@ -41,7 +41,7 @@
     invoker.loads.clear();
     invoker.probes.clear();
   }
-  void probed(const std::string& worker, Outcome outcome, double elapsed = 1) {
+  void end_probe(const std::string& worker, Outcome outcome, double elapsed = 1) {
     invoker.give(event::ProbeEnded{worker, outcome, Millis(elapsed), std::nullopt});
   }
 
@@ -58,16 +58,16 @@
   CHECK(invoker.loads.empty());
   REQUIRE(invoker.probes.size() == 1);
   SECTION("a healthy worker gets the call at once") {
-    probed(invoker.probes[0], Outcome::ok);
+    end_probe(invoker.probes[0], Outcome::ok);
     REQUIRE(invoker.sends.size() == 1);
     CHECK(invoker.sends[0].worker == invoker.probes[0]);
   }
   SECTION("a draining worker gets no call; the other one is probed at once") {
-    probed(invoker.probes[0], Outcome::error);
+    end_probe(invoker.probes[0], Outcome::error);
     CHECK(invoker.sends.empty());
     REQUIRE(invoker.probes.size() == 2);
     CHECK(invoker.probes[1] != invoker.probes[0]);
-    probed(invoker.probes[1], Outcome::ok);
+    end_probe(invoker.probes[1], Outcome::ok);
     REQUIRE(invoker.sends.size() == 1);
     CHECK(invoker.sends[0].worker == invoker.probes[1]);
   }
@@ -77,11 +77,11 @@
     CHECK(invoker.probes[1] != invoker.probes[0]);
   }
   SECTION("a local fault does not count against the worker") {
-    probed(invoker.probes[0], Outcome::not_sent);
-    probed(invoker.probes[1], Outcome::not_sent);
+    end_probe(invoker.probes[0], Outcome::not_sent);
+    end_probe(invoker.probes[1], Outcome::not_sent);
     invoker.pass(100);
     REQUIRE(invoker.probes.size() >= 3);
-    probed(invoker.probes[2], Outcome::ok);
+    end_probe(invoker.probes[2], Outcome::ok);
     CHECK(invoker.sends.size() == 1);
   }
   SECTION("no answer is needed once the list is current again") {
@@ -95,7 +95,7 @@
                  "[membership-lease]") {
   invoker.request("r2");
   REQUIRE(invoker.probes.size() == 1);
-  probed(invoker.probes[0], Outcome::ok, 500);  // of the grace of 1000 ms, 800 count
+  end_probe(invoker.probes[0], Outcome::ok, 500);  // of the grace of 1000 ms, 800 count
   REQUIRE(invoker.sends.size() == 1);
   invoker.answer(invoker.sends[0], Outcome::ok, 10);
   invoker.pass(50);
@@ -109,7 +109,7 @@
                  "[membership-lease]") {
   invoker.list({entry("b", WorkerState::gone)}, ListKind::delta);
   invoker.request("r2");
-  probed(invoker.probes.at(0), Outcome::ok);
+  end_probe(invoker.probes.at(0), Outcome::ok);
   invoker.pass(550);
   invoker.answer(invoker.sends.at(0), Outcome::ok, 550);
   invoker.request("r3");
@@ -126,7 +126,7 @@
                  "[membership-lease]") {
   invoker.request("r2");
   const std::string worker = invoker.probes.at(0);
-  probed(worker, Outcome::ok);
+  end_probe(worker, Outcome::ok);
   invoker.answer(invoker.sends.at(0), Outcome::full, 1);
   const auto sent_there = [&] {
     return std::count_if(invoker.sends.begin(), invoker.sends.end(),
@@ -141,7 +141,7 @@
   invoker.request("r2", 2);
   CHECK(invoker.loads.empty());
   REQUIRE(invoker.probes.size() == 1);
-  probed(invoker.probes[0], Outcome::ok);
+  end_probe(invoker.probes[0], Outcome::ok);
   REQUIRE(invoker.loads.size() == 1);
   CHECK(invoker.loads[0].worker == invoker.probes[0]);
 }
@@ -155,20 +155,20 @@
   invoker.request("r2");
   REQUIRE(invoker.probes.size() == 1);
   SECTION("it was unhealthy before") {
-    probed("a", Outcome::error);
+    end_probe("a", Outcome::error);
     invoker.pass(1100);
     invoker.request("r3");
     REQUIRE(invoker.probes.size() == 2);
-    probed("a", Outcome::ok);
+    end_probe("a", Outcome::ok);
   }
   SECTION("it had closed all connections") {
     invoker.give(event::ConnectionsLost{"a"});
-    probed("a", Outcome::ok);
+    end_probe("a", Outcome::ok);
   }
   CHECK(invoker.sends.empty());  // the instance was lost with the process
   for (int i = 4; i < 40; ++i) {
     invoker.request("r" + std::to_string(i), static_cast<std::uint64_t>(i));
-    probed("a", Outcome::ok);
+    end_probe("a", Outcome::ok);
   }
   const auto work_sent = invoker.sends.size() + invoker.loads.size();
   CHECK(work_sent <= 5);
--- a/tests/policy/policy_local_fault_test.cpp
+++ b/tests/policy/policy_local_fault_test.cpp
@@ -180,12 +180,12 @@
     r.answer(action::Send(r.sends.back()), Outcome::reset);
     REQUIRE(r.probes.size() == 1U);
     for (int i = 0; i < 10; ++i) {
-      const std::size_t asked = r.probes.size();
+      const std::size_t probes_before = r.probes.size();
       r.give(event::ProbeEnded{"a", Outcome::not_sent, Millis(0), std::nullopt});
       UNSCOPED_INFO("not sent again at once");
-      CHECK(r.probes.size() == asked);
+      CHECK(r.probes.size() == probes_before);
       r.pass(80);
-      REQUIRE(r.probes.size() == asked + 1);
+      REQUIRE(r.probes.size() == probes_before + 1);
       UNSCOPED_INFO("nothing is sent to a suspect worker");
       CHECK(r.sends.size() == 2U);
     }
