--- a/tests/policy/membership_lease_test.cpp
+++ b/tests/policy/membership_lease_test.cpp
@@ -95,7 +95,7 @@
                  "[membership-lease]") {
   invoker.request("r2");
   REQUIRE(invoker.probes.size() == 1);
-  end_probe(invoker.probes[0], Outcome::ok, 500);  // of the grace of 1000 ms, 800 count
+  end_probe(invoker.probes[0], Outcome::ok, 500);  // the lease is 800 ms of the drain grace of 1000 ms
   REQUIRE(invoker.sends.size() == 1);
   invoker.answer(invoker.sends[0], Outcome::ok, 10);
   invoker.pass(50);
