--- a/src/app/part_settings.cpp
+++ b/src/app/part_settings.cpp
@@ -6,7 +6,7 @@
 namespace pathstack::app {
 namespace {
 
-constexpr std::size_t kOwnDescriptors = 20;  // standard streams, the listener, the change log and the like
+constexpr std::size_t kOwnDescriptors = 20;  // standard streams, listener, membership log and so on
 constexpr std::size_t kMemoryParts = 4;
 constexpr std::size_t kDescriptorParts = 3;
 
@@ -22,12 +22,12 @@
 hosts::Limits host_limits(const config::Config& config) {
   hosts::Limits limits;
   limits.connect_timeout = config.settings.connect_timeout;
-  limits.idle = config.connection_idle;
+  limits.idle_timeout = config.connection_idle;
   limits.order_timeout = config.settings.order_timeout;
-  limits.probes = config.settings.probes;
+  limits.allow_probes = config.settings.probes;
   limits.drain_grace = config.settings.drain_grace;
-  limits.attempts_a_link = config.attempts_a_link;
-  limits.links = config.sockets / kDescriptorParts;
+  limits.max_attempts_per_connection = config.attempts_a_link;
+  limits.max_connections = config.sockets / kDescriptorParts;
   limits.report_fields = config.report_fields;
   return limits;
 }
@@ -55,7 +55,7 @@
   return broker;
 }
 
-amqp::Front::Limits trigger_limits(const config::AmqpConfig& config) {
+amqp::Front::Limits amqp_limits(const config::AmqpConfig& config) {
   return {config.open_calls, config.remembered, bytes_of_mb(config.remembered_mb)};
 }
 
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -14,8 +14,9 @@
 ConnectionPool::ConnectionPool(net::Loop& loop, net::BufferPool& pool, core::Counters& counters,
                                Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)) {
-  // Where a connection carries few calls, a fixed number of them would keep a host's slots empty.
-  limits_.links_a_host = std::max(limits_.links_a_host, limits_.calls_a_host / limits_.attempts_a_link);
+  // With few attempts per connection, a fixed number of connections would leave slots of a host unused.
+  limits_.max_connections_per_host = std::max(
+      limits_.max_connections_per_host, limits_.max_calls_per_host / limits_.max_attempts_per_connection);
 }
 
 ConnectionPool::~ConnectionPool() = default;
@@ -24,8 +25,8 @@
   for (const auto& connection : connections) connection->drain();
 }
 
-void ConnectionPool::Host::replace() {
-  for (const auto& connection : connections) connection->replace();
+void ConnectionPool::Host::mark_replaced() {
+  for (const auto& connection : connections) connection->mark_replaced();
 }
 
 void ConnectionPool::members(const core::MemberList& list) {
@@ -40,7 +41,8 @@
       host.member.entry.state = WorkerState::gone;
       host.drain();
     }
-    // Hosts that are gone are forgotten with their last connection, or every deploy would leave some behind.
+    // Hosts that are gone are removed with their last connection; otherwise their number would grow with
+    // every deployment.
     const bool forgotten = host.member.entry.state == WorkerState::gone && host.connections.empty();
     if (forgotten) index_address(i->first, host.member.address, {});
     i = forgotten ? hosts_.erase(i) : std::next(i);
@@ -51,29 +53,29 @@
   const std::string& id = member.entry.worker;
   Host& host = hosts_[id];
   const bool known = !host.member.entry.worker.empty();
-  // Stamps come from the host's wall clock, which may be stepped back: any change is a restart. Zero says
-  // nothing: entries of hosts that drain or are gone need not have a stamp.
-  const Millis stamp_before = host.member.entry.started;
-  const bool stamped = member.entry.started.count() != 0;
+  // Start times are taken from the wall clock of the host, which may be stepped back, so any change is a
+  // restart. Zero means unknown: entries of draining or gone hosts need not have a start time.
+  const Millis previous_start = host.member.entry.started;
+  const bool has_start = member.entry.started.count() != 0;
   const bool moved = member.address != host.member.address;
-  const bool restarted = known && (moved || (stamped && member.entry.started != stamp_before));
-  if (restarted) host.replace();
+  const bool restarted = known && (moved || (has_start && member.entry.started != previous_start));
+  if (restarted) host.mark_replaced();
   if (moved) index_address(id, host.member.address, member.address);
   host.member = member;
-  if (!stamped) host.member.entry.started = stamp_before;
+  if (!has_start) host.member.entry.started = previous_start;
   if (member.entry.state != WorkerState::ready) return host.drain();
-  replace_others_at(member.address, id);
+  mark_others_replaced(member.address, id);
 }
 
-// A new host may stand at the address of one that is gone, and be taken for it.
-void ConnectionPool::replace_others_at(const std::string& address, const std::string& id) {
+// A new host can have the address of one that is gone; connections to the old host must not be used for it.
+void ConnectionPool::mark_others_replaced(const std::string& address, const std::string& id) {
   const auto [first, last] = ids_by_address_.equal_range(address);
   for (auto other = first; other != last; ++other) {
-    if (other->second != id) hosts_.at(other->second).replace();
+    if (other->second != id) hosts_.at(other->second).mark_replaced();
   }
 }
 
-// An empty address is not kept.
+// Moves `id` in the index from address `before` to `now`. Empty addresses are not indexed.
 void ConnectionPool::index_address(const std::string& id, const std::string& before, const std::string& now) {
   const auto [first, last] = ids_by_address_.equal_range(before);
   const auto found = std::find_if(first, last, [&](const auto& entry) { return entry.second == id; });
@@ -94,7 +96,7 @@
   return host == nullptr ? ConnectionChoice{} : connection_for(*host, ref);
 }
 
-// The least loaded one that takes `ref`, or else a new one.
+// Chooses the least loaded connection that accepts `ref`, or opens a new one.
 ConnectionPool::ConnectionChoice ConnectionPool::connection_for(Host& host, const std::string& ref) {
   Connection* least_loaded = nullptr;
   std::size_t counted = 0;
@@ -104,9 +106,9 @@
     if (least_loaded == nullptr || connection->load() < least_loaded->load()) least_loaded = connection.get();
   }
   if (least_loaded != nullptr) return {least_loaded};
-  // With more hosts than connections may be up, those to hosts used a while ago would keep out all others.
-  const bool may_open =
-      counted < limits_.links_a_host && (connections_ < limits_.links || close_idle_connection());
+  // With more hosts than allowed connections, idle connections would otherwise make other hosts unreachable.
+  const bool may_open = counted < limits_.max_connections_per_host &&
+                        (connections_ < limits_.max_connections || close_idle_connection());
   if (may_open) return open_connection(host);
   counters_.add(core::Counter::hosts_no_link);
   return {nullptr, Outcome::not_sent};
@@ -128,7 +130,7 @@
   return {host.connections.back().get()};
 }
 
-// Ends the one longest unused; false if none is idle.
+// Ends the least recently used idle connection; returns false if none is idle.
 bool ConnectionPool::close_idle_connection() {
   std::shared_ptr<Connection> oldest;
   for (const auto& [id, host] : hosts_) {
@@ -140,12 +142,12 @@
   if (!oldest) return false;
   counters_.add(core::Counter::hosts_idle_ended);
   oldest->end_later();
-  oldest->flush();  // at once: its descriptor is needed
+  oldest->flush();  // immediately, as its descriptor is needed
   return true;
 }
 
-// The host's failure is reported at once; a local fault after a backoff, but well within `timeout`: past that
-// the attempt would be taken for one that its host has kept waiting.
+// Reports a failure of the host immediately, and a local fault after a backoff. The backoff is capped at
+// half of `timeout`: a report after the time-out would be taken for a host that did not answer.
 void ConnectionPool::report_failure(Outcome failure, Millis timeout, std::function<void()> report) {
   const Millis now = loop_.now();
   const bool local = failure == Outcome::not_sent;
@@ -210,12 +212,12 @@
 
 bool ConnectionPool::take_load_budget() { return dispatcher_->take_load_budget(); }
 
-// The module decides by leases that end within the grace; what waits much longer may leave after a drain that
-// counts as told.
+// The decision module uses leases that end within the drain grace. A message that is queued much longer could
+// be sent after a drain that counts as delivered.
 bool ConnectionPool::may_still_write(Millis added_at) {
   const Millis now = loop_.now();
   if (now <= list_current_until_) return true;
-  const Millis longest = pathstack::policy::max_connection_wait(limits_.drain_grace, limits_.probes);
+  const Millis longest = pathstack::policy::max_connection_wait(limits_.drain_grace, limits_.allow_probes);
   if (now - added_at <= longest) return true;
   counters_.add(core::Counter::guard_waited_too_long);
   return false;
@@ -232,13 +234,14 @@
                                   [&](const auto& other) { return other.get() == &connection; });
   loop_.defer_destruction(*found);
   connections.erase(found);
-  const bool by_host = connection.end_cause() == net::StreamEnd::closed_by_peer ||
-                       connection.end_cause() == net::StreamEnd::reset_by_peer;
-  const bool another_is_up = std::any_of(connections.begin(), connections.end(), [](const auto& other) {
-    return other->open() && other->counts_for_host();
-  });
-  const bool was_of_process = connection.was_up() && !connection.is_replaced();
-  if (was_of_process && by_host && !another_is_up) dispatcher_->connections_lost(connection.host());
+  const bool closed_by_host = connection.end_cause() == net::StreamEnd::closed_by_peer ||
+                              connection.end_cause() == net::StreamEnd::reset_by_peer;
+  const bool has_other_connection =
+      std::any_of(connections.begin(), connections.end(),
+                  [](const auto& other) { return other->open() && other->counts_for_host(); });
+  const bool was_to_current_process = connection.was_up() && !connection.is_replaced();
+  if (was_to_current_process && closed_by_host && !has_other_connection)
+    dispatcher_->host_connections_lost(connection.host());
 }
 
 }  // namespace pathstack::hosts
--- a/tests/invoker/support/server.h
+++ b/tests/invoker/support/server.h
@@ -1,4 +1,4 @@
-// A listener on loopback for the stand-ins. All run on one loop, in turns.
+/// A listener on loopback for stand-in servers, which all run on one loop.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace pathstack::test {
 
-// Accepts connections and keeps them until they end.
+/// Accepts connections and owns them until they end. `owner` must outlive the server.
 template <typename Peer, typename Owner>
 class Server : public net::Handler {
  public:
@@ -24,10 +24,12 @@
     loop_.watch(listener_.fd(), *this, POLLIN);
   }
   ~Server() override { stop(); }
+  /// Closes the listener; accepted connections stay open.
   void stop() {
-    if (listener_) loop_.forget(listener_.fd(), *this);
+    if (listener_) loop_.unwatch(listener_.fd(), *this);
     listener_.close();
   }
+  /// The address on which the server listens.
   const std::string& address() const { return address_; }
   std::list<std::shared_ptr<Peer>> peers;
   void ready(short) override {
@@ -38,6 +40,7 @@
       peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(result.socket)));
     }
   }
+  /// Removes a connection that has ended; `peer` is destroyed at the end of the turn.
   void gone(Peer& peer) {
     for (auto i = peers.begin(); i != peers.end(); ++i) {
       if (i->get() != &peer) continue;
--- a/tests/policy/lease_renewal_test.cpp
+++ b/tests/policy/lease_renewal_test.cpp
@@ -56,7 +56,7 @@
   CHECK(static_cast<double>(fleet.used.size()) <=
         rate * 0.25);  // only as many workers as the calls can keep confirmed
   CHECK(fleet.invoker().policy.statistics()["lease.renewed"] > 0);
-  CHECK_FALSE(fleet.invoker().broken);
+  CHECK_FALSE(fleet.invoker().final_answer_violated);
 }
 
 TEST_CASE("LeaseRenewal: a draining kept worker is detected when it rejects work", "[lease-renewal]") {
@@ -95,11 +95,11 @@
   SimulatedFleet fleet(s, 3, 20);
   fleet.run_for(5000);
   auto& invoker = fleet.invoker();
-  invoker.give(event::ListLease{invoker.now, invoker.now + Millis(1750)});
+  invoker.handle(event::ListLease{invoker.now, invoker.now + Millis(1750)});
   fleet.run_for(500);
   const int served = fleet.served;
-  invoker.pass(1000);  // without calls
-  fleet.run_for(500);  // 2000 ms after the lease on the list ended: within the drain grace
+  invoker.advance(1000);  // without calls
+  fleet.run_for(500);     // 2000 ms after the lease on the list ended: within the drain grace
   CHECK(fleet.served > served);
 }
 
--- a/tests/policy/simulated_fleet.h
+++ b/tests/policy/simulated_fleet.h
@@ -29,14 +29,14 @@
     invoker_.list(entries);
   }
 
-  void renew_list() { invoker_.give(event::ListLease{invoker_.now + Millis(3750)}); }
-  void begin_outage() { invoker_.give(event::ListLease{invoker_.now}); }
+  void renew_list() { invoker_.handle(event::ListLease{invoker_.now + Millis(3750)}); }
+  void begin_outage() { invoker_.handle(event::ListLease{invoker_.now}); }
   /// From now on the worker answers every call with `outcome` without running it.
   void answer_with(const std::string& worker, Outcome outcome) { outcomes_[worker] = outcome; }
   /// If any probes were sent, ends them with one healthy answer of `worker`.
   void answer_probes(const std::string& worker) {
     if (std::exchange(probes, 0) > 0) {
-      invoker_.give(event::ProbeEnded{worker, Outcome::ok, Millis(1), std::nullopt});
+      invoker_.handle(event::ProbeEnded{worker, Outcome::ok, Millis(1), std::nullopt});
     }
   }
   void drain(const std::string& worker) { drains_[worker] = invoker_.now; }
@@ -79,7 +79,7 @@
     if (drain != drains_.end() && invoker_.now > drain->second + grace_) ++sends_past_grace;
   }
   void step() {
-    invoker_.pass(kStep);
+    invoker_.advance(kStep);
     take_actions();
     answer();
     if (fraction() >= calls_per_step_) return;
@@ -110,7 +110,7 @@
   void answer() {
     for (const auto& [worker, sent_at] : std::exchange(probes_out_, {})) {
       const Outcome outcome = drains(worker) ? Outcome::error : Outcome::ok;
-      invoker_.give(event::ProbeEnded{worker, outcome, invoker_.now - sent_at, std::nullopt});
+      invoker_.handle(event::ProbeEnded{worker, outcome, invoker_.now - sent_at, std::nullopt});
     }
     const auto due = std::partition(pending_.begin(), pending_.end(),
                                     [&](const Pending& each) { return each.at > invoker_.now; });
@@ -124,9 +124,9 @@
         invoker_.answer(*each.call, outcome, elapsed, Warmth::unknown);
       } else {
         const bool rejects = drains(each.order.worker);
-        invoker_.give(event::LoadEnded{each.order.worker, each.order.function,
-                                       rejects ? Outcome::full : Outcome::ok, Millis(elapsed),
-                                       rejects ? 0 : 1});
+        invoker_.handle(event::LoadEnded{each.order.worker, each.order.function,
+                                         rejects ? Outcome::full : Outcome::ok, Millis(elapsed),
+                                         rejects ? 0 : 1});
       }
       take_actions();
     }
--- a/tests/replay/fleet_simulation.h
+++ b/tests/replay/fleet_simulation.h
@@ -1,9 +1,10 @@
-// A small closed-loop simulation that drives the adapter over its wire: invokers, workers, clients and
-// faults.
-//
-// It is a source of varied and legal event streams, not a model of a real fleet: what a worker does is drawn
-// from the seed, and the adapter's actions decide what happens next. Time is kept in whole microseconds and
-// random numbers come from the engine alone, so a plan gives the same stream on every machine.
+/// A small closed-loop simulation of invokers, workers, clients and faults that drives the adapter through
+/// its JSON protocol.
+///
+/// The simulation produces varied and valid event streams; it does not model a real fleet. The seed
+/// determines how workers behave, and the adapter's actions determine what happens next. Times are integer
+/// microseconds and random numbers are taken directly from the engine, so a plan gives the same stream on
+/// every machine.
 #pragma once
 
 #include <cstdint>
@@ -20,53 +21,54 @@
 
 namespace pathstack::policy::replay {
 
+/// Runs one day. Deterministic for a given plan and decision module.
 class FleetSimulation {
  public:
-  /// Called with each round and the adapter's reply to it.
+  /// Called with each round (a batch of messages as sent to the adapter) and the adapter's reply.
   using Observer = std::function<void(const std::string& round, const std::string& reply)>;
 
   explicit FleetSimulation(const DayPlan& plan);
 
-  /// Plays the whole day once.
+  /// Runs the whole day; call once.
   Summary run(const Observer& observer = nullptr);
 
  private:
   using Micros = std::int64_t;
   using Json = nlohmann::json;
 
-  struct Instance {  // of a function at a worker
+  struct Instance {  // an instance of a function at a worker
     Micros ready_at = 0, used_at = 0;
-    bool fails = false;  // its load does
+    bool fails = false;  // the load fails
   };
   struct Worker {
     std::string id, zone, kind;
     int cell = 0, availability = 2;
     Micros started = 0, down_until = 0, silent_until = 0;
-    int slow_factor = 1, error_share = 0, in_work = 0;
+    int slow_factor = 1, error_share = 0, in_flight = 0;
     std::map<std::uint64_t, Instance> instances;
   };
   struct Invoker {
-    bool live = false, subscribed = false;
-    int incarnation = 0;
+    bool running = false, subscribed = false;
+    int incarnation = 0;  // number of starts; messages for an earlier one are dropped
     Micros list_delay = 0;
     Json inbox = Json::array();
   };
   struct Attempt {
     int worker = 0;
     Micros sent = 0;
-    bool settled = false;
+    bool finished = false;
   };
   struct Request {
     int invoker = 0, incarnation = 0, class_index = 0;
     std::uint64_t function = 0;
     Micros deadline = 0;
-    bool over = false, streaming = false;
+    bool finished = false, streaming = false;
     std::vector<Attempt> attempts;
   };
-  struct Fate {  // how an attempt will end
+  struct AttemptResult {  // how and when an attempt will end
     std::string status;
-    Micros after = 0;  // never_answered: only the time-out ends it
-    int remark = 0;
+    Micros after = 0;  // kNoAnswer: the attempt ends only by its timeout
+    int remark = 0;    // warmth and number of concurrent calls, as in a `Result` message
   };
 
   DayPlan plan_;
@@ -87,33 +89,33 @@
   void start_fleet();
   void start_invoker(int index);
   void stop_invoker(int index);
-  void restart_some_invoker();
-  void play_round(Summary& summary, const Observer& observer);
+  void restart_random_invoker();
+  void run_round(Summary& summary, const Observer& observer);
 
   void add_worker();
   Json entry(const Worker& worker) const;
   void deliver_list(int invoker, int kind, const Json& entries);
-  void announce(int index);
-  void full_list(int invoker, int kind);
+  void announce_worker(int index);
+  void deliver_full_list(int invoker, int kind);
 
-  void break_some_worker();
+  void inject_worker_fault();
   void restart_worker(int index);
   void drain_worker(int index);
 
-  void arrive();
-  void request(int invoker, std::uint64_t function, Micros expires_in, bool retry);
-  void client_leaves(const std::string& id);
-  void client_retries(const Request& ended);
-  void odd_messages(int invoker, const std::string& id);
+  void generate_requests();
+  void add_request(int invoker, std::uint64_t function, Micros expires_in, bool retry);
+  void abandon_request(const std::string& id);
+  void retry_request(const Request& ended);
+  void send_stray_message(int invoker, const std::string& id);
 
-  void perform(int invoker, const Json& command);
+  void execute(int invoker, const Json& command);
   void assign(int invoker, const Json& command);
-  Fate fate_of(Worker& worker, const Request& request, Micros time_out);
-  Fate fate_without_time_out(Worker& worker, const Request& request);
-  Fate run_at(Worker& worker, const Request& request);
-  void settle(const std::string& id, int attempt, const Fate& fate);
+  AttemptResult attempt_result(Worker& worker, const Request& request, Micros timeout);
+  AttemptResult result_without_timeout(Worker& worker, const Request& request);
+  AttemptResult run_request(Worker& worker, const Request& request);
+  void finish_attempt(const std::string& id, int attempt, const AttemptResult& result);
   void begin_stream(const std::string& id, int attempt);
-  void recall(const Json& command);
+  void cancel_attempt(const Json& command);
   void end_request(const Json& command, bool refused);
   void load(int invoker, const Json& command);
   void probe(int invoker, const Json& command);
--- a/tests/replay/summary.h
+++ b/tests/replay/summary.h
@@ -1,4 +1,4 @@
-// What a replay is compared by: a digest of the adapter's replies and the count of each kind of action.
+/// Summarizes a replay for comparison: a digest of the adapter's replies and a count of each kind of action.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace pathstack::policy::replay {
 
-/// FNV-1a of 64 bits over all lines added, each ended by a line feed.
+/// 64-bit FNV-1a hash over all added lines, each followed by a line feed.
 class Digest {
  public:
   void add_line(const std::string& line) {
@@ -19,17 +19,17 @@
   std::uint64_t value() const { return hash_; }
 
  private:
-  static constexpr std::uint64_t offset_basis = 0xcbf29ce484222325ULL;
-  static constexpr std::uint64_t prime = 0x100000001b3ULL;
-  std::uint64_t hash_ = offset_basis;
+  static constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325ULL;
+  static constexpr std::uint64_t kPrime = 0x100000001b3ULL;
+  std::uint64_t hash_ = kOffsetBasis;
 
-  void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * prime; }
+  void add_byte(unsigned char byte) { hash_ = (hash_ ^ byte) * kPrime; }
 };
 
-/// Digest and counts of the replies of one day.
+/// Digest and action counts of the replies of one day.
 class Summary {
  public:
-  /// Adds one reply, both as it was written and parsed.
+  /// Adds one reply, given both as text and parsed.
   void add_reply(const std::string& line, const nlohmann::json& reply) {
     ++rounds_;
     digest_.add_line(line);
@@ -41,7 +41,8 @@
     const auto found = actions_.find(action);
     return found == actions_.end() ? 0 : found->second;
   }
-  /// One line: name, digest, number of rounds, and the actions with their counts in order of their names.
+  /// Formats the summary as one line: name, digest, number of rounds, and the count of each action in
+  /// alphabetical order.
   std::string line(const std::string& name) const {
     std::ostringstream text;
     text << name << ' ' << std::hex << digest_.value() << std::dec << " rounds=" << rounds_;
