--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -34,8 +34,8 @@
   /// `hosts` and `counters` must outlive this object.
   Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters);
 
-  /// Sets the log of calls that end unserved; `log` must outlive this object. Without a log nothing is
-  /// written.
+  /// Sets the log of calls that end unserved and of the module's events; `log` must outlive this object.
+  /// Without a log nothing is written.
   void set_event_log(EventLog& log) { event_log_ = &log; }
 
   /// Returns an id for a new call. The id exists before `take`, so that a front can register the call before
