--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,7 +15,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kListenBacklog = 512;  // connections that the kernel accepts ahead of the program
+constexpr int kListenBacklog = 512;  // connections that the kernel completes before the program accepts them
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
@@ -32,7 +32,8 @@
   return {found, &freeaddrinfo};
 }
 
-// What connect(2) reports at once of a peer or of the way to it; everything else lies at this machine.
+// Classifies an immediate error of connect(2): the listed errors are those of the peer or of the path to it,
+// all others are local.
 ConnectFault connect_fault_of(int error) {
   switch (error) {
     case ECONNREFUSED:
@@ -43,7 +44,8 @@
   }
 }
 
-// Answers are small and written once a turn: they must not wait for the acknowledgement of the last one.
+// Answers are small and written once per turn; Nagle's algorithm would delay each until the previous one is
+// acknowledged.
 void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -51,8 +53,8 @@
 
 std::error_code last_error() { return {errno, std::generic_category()}; }
 
-// accept(2) also passes on network errors that were already pending on the new connection. An error that is
-// not known counts as the listener's, as a retry at once could spin.
+// accept(2) also reports network errors that are already pending on the new connection. An unknown error is
+// attributed to the listener, as an immediate retry could spin.
 AcceptStatus accept_failure(int error) {
   switch (error) {
     case EAGAIN: return AcceptStatus::none_waiting;
@@ -80,13 +82,14 @@
 }
 
 ListenResult listen_on(const std::string& address) {
-  const Addresses at = resolve(address, AI_PASSIVE);
-  if (!at) return {Socket(), std::make_error_code(std::errc::invalid_argument)};
-  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const Addresses resolved = resolve(address, AI_PASSIVE);
+  if (!resolved) return {Socket(), std::make_error_code(std::errc::invalid_argument)};
+  Socket socket(system_calls().socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return {Socket(), last_error()};
   const int on = 1;
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (system_calls().bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0) return {Socket(), last_error()};
+  if (system_calls().bind(socket.fd(), resolved->ai_addr, resolved->ai_addrlen) != 0)
+    return {Socket(), last_error()};
   if (system_calls().listen(socket.fd(), kListenBacklog) != 0) return {Socket(), last_error()};
   return {std::move(socket), {}};
 }
@@ -108,13 +111,13 @@
 }
 
 ConnectResult begin_connect(const std::string& address) {
-  const Addresses at = resolve(address, 0);
-  if (!at) return {Socket(), ConnectFault::address};
-  Socket socket(system_calls().socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const Addresses resolved = resolve(address, 0);
+  if (!resolved) return {Socket(), ConnectFault::address};
+  Socket socket(system_calls().socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket) return {Socket(), ConnectFault::local};
   disable_nagle(socket.fd());
-  const int result = system_calls().connect(socket.fd(), at->ai_addr, at->ai_addrlen);
-  // A connect that a signal interrupts goes on, as a non-blocking one does.
+  const int result = system_calls().connect(socket.fd(), resolved->ai_addr, resolved->ai_addrlen);
+  // A connect that is interrupted by a signal continues asynchronously, like a non-blocking one.
   const bool in_progress = result == 0 || errno == EINPROGRESS || errno == EINTR;
   if (!in_progress) return {Socket(), connect_fault_of(errno)};
   return {std::move(socket), ConnectFault::none};
@@ -137,11 +140,11 @@
 }
 
 std::string bound_address(const Socket& listener) {
-  sockaddr_storage at{};
-  socklen_t size = sizeof at;
+  sockaddr_storage storage{};
+  socklen_t size = sizeof storage;
   char host[NI_MAXHOST];
   char port[NI_MAXSERV];
-  auto* address = reinterpret_cast<sockaddr*>(&at);
+  auto* address = reinterpret_cast<sockaddr*>(&storage);
   if (getsockname(listener.fd(), address, &size) != 0) return {};
   constexpr int numeric = NI_NUMERICHOST | NI_NUMERICSERV;
   if (getnameinfo(address, size, host, sizeof host, port, sizeof port, numeric) != 0) return {};
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -8,9 +8,9 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kReadsPerTurn = 8;  // one busy peer must not keep the others waiting
+constexpr int kReadsPerTurn = 8;  // a busy peer must not starve the others
 
-StreamEnd end_of_error(int error) {
+StreamEnd end_cause_of(int error) {
   const bool by_peer = error == ECONNRESET || error == EPIPE || error == ECONNREFUSED;
   return by_peer ? StreamEnd::reset_by_peer : StreamEnd::network_failure;
 }
@@ -20,7 +20,7 @@
 Stream::Stream(Loop& loop, BufferPool& pool, Socket socket, bool connecting)
     : loop_(loop),
       socket_(std::move(socket)),
-      outbox_(pool, [this] { discarded(); }),
+      outbox_(pool, [this] { outbox_discarded(); }),
       phase_(connecting ? Phase::connecting : Phase::established) {
   if (!socket_) phase_ = Phase::closed;
   if (socket_) watch();
@@ -28,7 +28,7 @@
 
 Stream::~Stream() {
   loop_.cancel(linger_timer_);
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
 }
 
 void Stream::watch() {
@@ -39,7 +39,7 @@
 
 void Stream::write(std::string_view bytes) {
   if (ending()) return;
-  // A stream with a gap cannot be understood: it ends.
+  // The stream would have a gap that the peer cannot parse.
   if (!outbox_.append(bytes)) return end_later();
   if (!connecting()) loop_.flush_later(*this);
 }
@@ -48,7 +48,7 @@
   if (connecting() || ending()) return false;
   const auto status = outbox_.write_to(socket_.fd());
   if (status == Outbox::WriteStatus::failed) {
-    note_end(end_of_error(errno));
+    set_end_cause(end_cause_of(errno));
     end_later();
     return false;
   }
@@ -62,8 +62,8 @@
   if (end_requested_) end();
 }
 
-// Closing with unread input sends a reset, which discards what the peer has not received yet. So sending is
-// shut down first, and input is read until the peer has closed.
+// Closing a socket with unread input sends a reset, which discards bytes that the peer has not received yet.
+// So sending is shut down first, and input is read until the peer has closed.
 void Stream::linger() {
   const bool nothing_to_lose = outbox_.appended() == 0;
   if (nothing_to_lose || system_calls().shutdown(socket_.fd(), SHUT_WR) != 0) {
@@ -95,23 +95,23 @@
 
 bool Stream::has_input() const {
   pollfd descriptor{socket_.fd(), POLLIN, 0};
-  // A failed call tells nothing, so input has to be expected.
+  // After a failed poll the state is unknown, so input is assumed.
   return system_calls().poll(&descriptor, 1, 0) != 0;
 }
 
-void Stream::discarded() {
+void Stream::outbox_discarded() {
   backlog_discarded();
   end_later();
 }
 
-void Stream::note_end(StreamEnd cause) {
+void Stream::set_end_cause(StreamEnd cause) {
   if (end_cause_ == StreamEnd::local) end_cause_ = cause;
 }
 
 void Stream::end() {
   if (!socket_) return;
   loop_.cancel(linger_timer_);
-  loop_.forget(socket_.fd(), *this);
+  loop_.unwatch(socket_.fd(), *this);
   socket_.close();
   phase_ = Phase::closed;
   ended();
@@ -121,7 +121,7 @@
   if (connecting()) {
     const int error = pending_error(socket_);
     if (error != 0 || (events & (POLLERR | POLLNVAL)) != 0) {
-      note_end(end_of_error(error));
+      set_end_cause(end_cause_of(error));
       return end();
     }
     if ((events & POLLOUT) == 0) return;
@@ -136,14 +136,14 @@
 void Stream::read() {
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsPerTurn && socket_ && !end_requested_; ++i) {
-    const ssize_t got = system_calls().receive(socket_.fd(), block.data(), block.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (got <= 0) {
-      note_end(got == 0 ? StreamEnd::closed_by_peer : end_of_error(errno));
+    const ssize_t size_read = system_calls().receive(socket_.fd(), block.data(), block.size());
+    if (size_read < 0 && errno == EINTR) continue;
+    if (size_read < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (size_read <= 0) {
+      set_end_cause(size_read == 0 ? StreamEnd::closed_by_peer : end_cause_of(errno));
       return end();
     }
-    const auto size = static_cast<std::size_t>(got);
+    const auto size = static_cast<std::size_t>(size_read);
     if (discards_input_) {
       discard_input(size);
     } else {
--- a/src/policy/load_order_budget.cpp
+++ b/src/policy/load_order_budget.cpp
@@ -8,18 +8,18 @@
 void LoadOrderBudget::request_arrived(Millis now) {
   if (!is_limited()) return;
   requests_.push_back(now);
-  forget_requests(now);
+  expire_requests(now);
 }
 
-double LoadOrderBudget::allowed(Millis now) {
+double LoadOrderBudget::limit(Millis now) {
   if (!is_limited()) return std::numeric_limits<double>::infinity();
-  forget_requests(now);
+  expire_requests(now);
   return settings_.load_floor + settings_.load_ratio * static_cast<double>(requests_.size());
 }
 
-double LoadOrderBudget::left(Millis now) {
+double LoadOrderBudget::remaining(Millis now) {
   while (!orders_.empty() && now - orders_.front() > settings_.load_window) orders_.pop_front();
-  return allowed(now) - static_cast<double>(orders_.size());
+  return limit(now) - static_cast<double>(orders_.size());
 }
 
 void LoadOrderBudget::order_sent(Millis now) {
@@ -27,11 +27,11 @@
 }
 
 void LoadOrderBudget::order_not_sent(Millis sent_at) {
-  const auto counted = std::find(orders_.begin(), orders_.end(), sent_at);
-  if (counted != orders_.end()) orders_.erase(counted);
+  const auto found = std::find(orders_.begin(), orders_.end(), sent_at);
+  if (found != orders_.end()) orders_.erase(found);
 }
 
-void LoadOrderBudget::forget_requests(Millis now) {
+void LoadOrderBudget::expire_requests(Millis now) {
   while (!requests_.empty() && now - requests_.front() >= settings_.load_window) requests_.pop_front();
 }
 
--- a/tests/invoker/process_test.cpp
+++ b/tests/invoker/process_test.cpp
@@ -259,7 +259,7 @@
   CHECK(client.replies[0] == resp::Words{"1", "FAILED"});
   REQUIRE(fixture.turn_until([&] { return fixture.program->exit_status().has_value(); }));
   CHECK(fixture.program->exit_status() == 0);
-  CHECK(fixture.host.drops == 1);
+  CHECK(fixture.host.cancels == 1);
 }
 
 // Starts a program whose address is in use, and waits until it has reported that.
--- a/tests/invoker/support/server.h
+++ b/tests/invoker/support/server.h
@@ -26,7 +26,7 @@
   ~Server() override { stop(); }
   /// Closes the listener; accepted connections stay open.
   void stop() {
-    if (listener_) loop_.forget(listener_.fd(), *this);
+    if (listener_) loop_.unwatch(listener_.fd(), *this);
     listener_.close();
   }
   /// The address on which the server listens.
