--- a/src/amqp/call_codec.cpp
+++ b/src/amqp/call_codec.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kClassHeader = "class";
 constexpr const char* kTenantHeader = "project";
 constexpr const char* kFunctionHeader = "lookup";    // 16 hex digits
-constexpr const char* kEffortHeader = "effort";      // the caller's estimate of the work
+constexpr const char* kCostHintHeader = "effort";    // the caller's estimate of the work
 constexpr const char* kMemoryHeader = "memory_mb";   // of an instance of the function
 constexpr const char* kConcurrencyHeader = "lanes";  // concurrency slots of an instance
 constexpr const char* kTimeoutHeader = "allow";      // milliseconds
@@ -27,8 +27,8 @@
 constexpr std::uint8_t kPersistent = 2;  // the delivery mode of a message that outlives the broker's restart
 
 /// Begins the keys of calls without a message id.
-constexpr char kDerivedKeyMark = '\n';
-constexpr char kEscapedIdMark = '\r';  // in front of a message id that begins with either mark
+constexpr char kDerivedKeyPrefix = '\n';
+constexpr char kEscapedIdPrefix = '\r';  // in front of a message id that begins with either mark
 
 /// A header as text; numbers in decimal digits. Empty if it is absent or neither.
 std::string header_text(const FieldTable& headers, const char* name) {
@@ -47,7 +47,7 @@
   return nullptr;
 }
 
-const char* status_word(core::CallStatus status) {
+const char* status_text(core::CallStatus status) {
   switch (status) {
     case core::CallStatus::served: return "OK";
     case core::CallStatus::refused: return "BUSY";
@@ -57,31 +57,31 @@
 }
 
 /// The optional numbers of a call. Absent headers leave their defaults.
-struct CallFigures {
+struct NumericHeaders {
   std::optional<core::Millis> timeout;
   double memory_mb = 0;
   int concurrency = 1;
 };
 
 /// Nothing if a header is present but not a number in its range.
-std::optional<CallFigures> read_figures(const FieldTable& headers) {
-  CallFigures figures;
+std::optional<NumericHeaders> read_numeric_headers(const FieldTable& headers) {
+  NumericHeaders numbers;
   if (const std::string text = header_text(headers, kTimeoutHeader); !text.empty()) {
     const auto timeout_ms = net::parse_whole(text, kMaxTimeoutMs);
     if (!timeout_ms) return std::nullopt;
-    figures.timeout = core::Millis(static_cast<double>(*timeout_ms));
+    numbers.timeout = core::Millis(static_cast<double>(*timeout_ms));
   }
   if (const std::string text = header_text(headers, kMemoryHeader); !text.empty()) {
     const auto megabytes = net::parse_number(text);
     if (!megabytes) return std::nullopt;
-    figures.memory_mb = *megabytes;
+    numbers.memory_mb = *megabytes;
   }
   if (const std::string text = header_text(headers, kConcurrencyHeader); !text.empty()) {
     const auto concurrency = net::parse_whole(text, INT32_MAX);
     if (!concurrency) return std::nullopt;
-    figures.concurrency = static_cast<int>(*concurrency);
+    numbers.concurrency = static_cast<int>(*concurrency);
   }
-  return figures;
+  return numbers;
 }
 
 }  // namespace
@@ -95,10 +95,11 @@
 
 CallKey call_key(const BasicProperties& properties) {
   const std::string& id = properties.message_id;
-  const bool is_marked = !id.empty() && (id.front() == kDerivedKeyMark || id.front() == kEscapedIdMark);
-  if (is_marked) return kEscapedIdMark + id;
+  const bool needs_escape =
+      !id.empty() && (id.front() == kDerivedKeyPrefix || id.front() == kEscapedIdPrefix);
+  if (needs_escape) return kEscapedIdPrefix + id;
   if (!id.empty()) return id;
-  return kDerivedKeyMark + properties.reply_to + kDerivedKeyMark + properties.correlation_id;
+  return kDerivedKeyPrefix + properties.reply_to + kDerivedKeyPrefix + properties.correlation_id;
 }
 
 std::optional<DecodedCall> decode_call(const Delivery& delivery, const core::Settings& settings,
@@ -110,8 +111,8 @@
   const std::string function_name = header_text(headers, kFunctionHeader);
   const auto function = net::parse_hex16(function_name);
   if (!function) return std::nullopt;
-  const auto figures = read_figures(headers);
-  if (!figures) return std::nullopt;
+  const auto numbers = read_numeric_headers(headers);
+  if (!numbers) return std::nullopt;
   DecodedCall decoded;
   decoded.at_most_once = class_settings->semantics == policy::Semantics::once;
   core::Call& call = decoded.call;
@@ -119,11 +120,11 @@
   call.tenant = header_text(headers, kTenantHeader);
   call.function = *function;
   call.function_name = function_name;
-  call.cost_hint = net::parse_number(header_text(headers, kEffortHeader));
-  call.memory_mb = figures->memory_mb;
-  call.concurrency = figures->concurrency;
+  call.cost_hint = net::parse_number(header_text(headers, kCostHintHeader));
+  call.memory_mb = numbers->memory_mb;
+  call.concurrency = numbers->concurrency;
   call.arrived = arrived;
-  call.client_timeout = figures->timeout.value_or(class_settings->deadline);
+  call.client_timeout = numbers->timeout.value_or(class_settings->deadline);
   return decoded;
 }
 
@@ -131,11 +132,11 @@
   BasicProperties properties;
   properties.content_type = "application/octet-stream";
   properties.correlation_id = address.correlation_id;
-  const bool has_message_id = key.front() != kDerivedKeyMark;
-  const bool is_escaped = key.front() == kEscapedIdMark;
+  const bool has_message_id = key.front() != kDerivedKeyPrefix;
+  const bool is_escaped = key.front() == kEscapedIdPrefix;
   if (has_message_id) properties.message_id = is_escaped ? key.substr(1) : key;
   properties.delivery_mode = kPersistent;
-  properties.headers[kStatusHeader] = std::string(status_word(answer.status));
+  properties.headers[kStatusHeader] = std::string(status_text(answer.status));
   if (answer.retry_after.count() > 0) {
     properties.headers[kRetryAfterHeader] = static_cast<std::int64_t>(std::ceil(answer.retry_after.count()));
   }
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -50,8 +50,8 @@
     write(encode_frame(FrameType::body, kChannel, body.substr(at, max_payload)));
   }
   counters_.add(core::Counter::amqp_published);
-  ++published_;
-  return PublishSequence{published_};
+  ++published_count_;
+  return PublishSequence{published_count_};
 }
 
 void Channel::ack(DeliveryTag tag) {
@@ -103,41 +103,41 @@
 }
 
 void Channel::received(std::string_view bytes) {
-  heartbeat_.peer_active();
+  heartbeat_.on_peer_activity();
   std::vector<Frame> frames;
   const bool well_formed = parser_.take(bytes, frames);
   for (const auto& frame : frames) {
-    if (on_frame(frame) == Next::stop) return;
+    if (on_frame(frame) == FrameAction::stop) return;
   }
   if (!well_formed) fail_connection(core::Counter::amqp_malformed);
 }
 
-Channel::Next Channel::on_frame(const Frame& frame) {
-  if (frame.type == FrameType::heartbeat) return Next::read_on;
+Channel::FrameAction Channel::on_frame(const Frame& frame) {
+  if (frame.type == FrameType::heartbeat) return FrameAction::proceed;
   const bool channel_open = frame.channel == kConnectionChannel || frame.channel == kChannel;
   if (!channel_open) return fail_connection(core::Counter::amqp_unknown_channel);
   if (frame.type != FrameType::method) return on_content_frame(frame);
   return on_method_frame(frame);
 }
 
-Channel::Next Channel::on_content_frame(const Frame& frame) {
-  if (const auto failure = content_.take(frame)) return fail_connection(*failure);
+Channel::FrameAction Channel::on_content_frame(const Frame& frame) {
+  if (const auto failure = content_.add_frame(frame)) return fail_connection(*failure);
   if (auto delivery = content_.take_delivery()) {
     counters_.add(core::Counter::amqp_deliveries);
     listener_.on_delivery(std::move(*delivery));
   }
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
-Channel::Next Channel::on_method_frame(const Frame& frame) {
+Channel::FrameAction Channel::on_method_frame(const Frame& frame) {
   if (content_.in_progress()) return fail_connection(core::Counter::amqp_content_broken_off);
   ArgumentReader arguments(frame.payload);
   const auto method = static_cast<Method>(arguments.u32());
-  if (on_method(method, arguments) == Next::stop) return Next::stop;
-  return arguments.ok() ? Next::read_on : fail_connection(core::Counter::amqp_malformed);
+  if (on_method(method, arguments) == FrameAction::stop) return FrameAction::stop;
+  return arguments.ok() ? FrameAction::proceed : fail_connection(core::Counter::amqp_malformed);
 }
 
-Channel::Next Channel::on_method(Method method, ArgumentReader& arguments) {
+Channel::FrameAction Channel::on_method(Method method, ArgumentReader& arguments) {
   switch (method) {
     case Method::connection_start:
     case Method::connection_tune:
@@ -146,7 +146,7 @@
     case Method::confirm_select_ok:
     case Method::basic_qos_ok:
     case Method::basic_consume_ok: return on_setup_method(method, arguments);
-    case Method::basic_cancel_ok: return Next::read_on;
+    case Method::basic_cancel_ok: return FrameAction::proceed;
     // The queue is gone: a new connection finds it again, once it is there.
     case Method::basic_cancel: return fail_connection(core::Counter::amqp_consumer_cancelled);
     case Method::basic_deliver: return on_deliver(arguments);
@@ -161,12 +161,12 @@
   }
 }
 
-Channel::Next Channel::on_setup_method(Method method, ArgumentReader& arguments) {
+Channel::FrameAction Channel::on_setup_method(Method method, ArgumentReader& arguments) {
   const bool was_complete = setup_.complete();
   if (const auto failure = setup_.handle(method, arguments)) return fail_connection(*failure);
   if (method == Method::connection_tune) apply_tuning();
   if (setup_.complete() && !was_complete) on_setup_complete();
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
 void Channel::apply_tuning() {
@@ -179,27 +179,27 @@
   listener_.on_channel_up();
 }
 
-Channel::Next Channel::on_deliver(ArgumentReader& arguments) {
+Channel::FrameAction Channel::on_deliver(ArgumentReader& arguments) {
   arguments.short_string();  // the consumer tag
   const DeliveryTag tag{arguments.u64()};
   const bool redelivered = read_flag(arguments);
   if (!arguments.ok()) return fail_connection(core::Counter::amqp_malformed);
   content_.begin_delivery(tag, redelivered);
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
 // The reply queue has gone. A confirm for the publishing follows all the same.
-Channel::Next Channel::on_return() {
+Channel::FrameAction Channel::on_return() {
   counters_.add(core::Counter::amqp_answers_returned);
   content_.begin_return();
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
-Channel::Next Channel::on_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments) {
+Channel::FrameAction Channel::on_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments) {
   const auto confirm = read_confirm(outcome, arguments);
   if (!confirm) return fail_connection(core::Counter::amqp_malformed);
   listener_.on_publisher_confirm(*confirm);
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
 std::optional<PublisherConfirm> read_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments) {
@@ -211,7 +211,7 @@
   return confirm;
 }
 
-Channel::Next Channel::on_flow(ArgumentReader& arguments) {
+Channel::FrameAction Channel::on_flow(ArgumentReader& arguments) {
   const bool active = read_flag(arguments);
   if (!arguments.ok()) return fail_connection(core::Counter::amqp_malformed);
   flow_active_ = active;
@@ -219,30 +219,30 @@
   flow_ok.u8(flow_active_ ? 1 : 0);
   write_method(Method::channel_flow_ok, kChannel, flow_ok);
   if (flow_active_ && is_set_up()) listener_.on_channel_up();
-  return Next::read_on;
+  return FrameAction::proceed;
 }
 
-Channel::Next Channel::on_channel_close() {
+Channel::FrameAction Channel::on_channel_close() {
   write_method(Method::channel_close_ok, kChannel, ArgumentWriter());
   flush_now();
   return fail_connection(core::Counter::amqp_channel_closed);
 }
 
-Channel::Next Channel::on_connection_close() {
+Channel::FrameAction Channel::on_connection_close() {
   write_method(Method::connection_close_ok, kConnectionChannel, ArgumentWriter());
   flush_now();
   return fail_connection(core::Counter::amqp_connection_closed);
 }
 
-Channel::Next Channel::on_connection_close_ok() {
+Channel::FrameAction Channel::on_connection_close_ok() {
   end_later();
-  return Next::stop;
+  return FrameAction::stop;
 }
 
-Channel::Next Channel::fail_connection(core::Counter reason) {
+Channel::FrameAction Channel::fail_connection(core::Counter reason) {
   counters_.add(reason);
   end_later();
-  return Next::stop;
+  return FrameAction::stop;
 }
 
 }  // namespace pathstack::amqp
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -85,7 +85,7 @@
 
  private:
   /// Whether the frames that follow may be looked at.
-  enum class Next { read_on, stop };
+  enum class FrameAction { proceed, stop };
 
   core::Counters& counters_;
   const BrokerSettings& broker_;
@@ -95,7 +95,7 @@
   ContentAssembler content_;
   Heartbeat heartbeat_;
   net::Loop::TimerId setup_timer_{};
-  std::uint64_t published_ = 0;
+  std::uint64_t published_count_ = 0;
   bool flow_active_ = true;  // not paused by channel.flow
   bool closing_ = false;     // connection.close was sent
 
@@ -105,21 +105,21 @@
   void ended() override;
   void write_method(Method method, std::uint16_t channel, const ArgumentWriter& arguments) override;
 
-  Next on_frame(const Frame& frame);
-  Next on_method_frame(const Frame& frame);
-  Next on_method(Method method, ArgumentReader& arguments);
-  Next on_setup_method(Method method, ArgumentReader& arguments);
-  Next on_content_frame(const Frame& frame);
-  Next on_deliver(ArgumentReader& arguments);
-  Next on_return();
-  Next on_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments);
-  Next on_flow(ArgumentReader& arguments);
-  Next on_channel_close();
-  Next on_connection_close();
-  Next on_connection_close_ok();
+  FrameAction on_frame(const Frame& frame);
+  FrameAction on_method_frame(const Frame& frame);
+  FrameAction on_method(Method method, ArgumentReader& arguments);
+  FrameAction on_setup_method(Method method, ArgumentReader& arguments);
+  FrameAction on_content_frame(const Frame& frame);
+  FrameAction on_deliver(ArgumentReader& arguments);
+  FrameAction on_return();
+  FrameAction on_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments);
+  FrameAction on_flow(ArgumentReader& arguments);
+  FrameAction on_channel_close();
+  FrameAction on_connection_close();
+  FrameAction on_connection_close_ok();
   void apply_tuning();
   void on_setup_complete();
-  Next fail_connection(core::Counter reason);
+  FrameAction fail_connection(core::Counter reason);
 };
 
 }  // namespace pathstack::amqp
--- a/src/amqp/connection_setup.cpp
+++ b/src/amqp/connection_setup.cpp
@@ -18,9 +18,9 @@
 }
 
 /// The lower of the two; where one side wants none, the other's.
-std::chrono::seconds negotiate_heartbeat(std::chrono::seconds offered, std::chrono::seconds wanted) {
-  const bool only_one = offered.count() == 0 || wanted.count() == 0;
-  return only_one ? std::max(offered, wanted) : std::min(offered, wanted);
+std::chrono::seconds negotiate_heartbeat(std::chrono::seconds offered, std::chrono::seconds configured) {
+  const bool one_disabled = offered.count() == 0 || configured.count() == 0;
+  return one_disabled ? std::max(offered, configured) : std::min(offered, configured);
 }
 
 /// The response of SASL PLAIN (RFC 4616): no authorization identity, the user, the password.
--- a/src/amqp/content_assembler.cpp
+++ b/src/amqp/content_assembler.cpp
@@ -9,7 +9,7 @@
 void ContentAssembler::begin(Kind kind) {
   kind_ = kind;
   header_seen_ = false;
-  body_left_ = 0;
+  body_remaining_ = 0;
   delivery_ = Delivery();
   delivery_complete_ = false;
 }
@@ -22,28 +22,28 @@
 
 void ContentAssembler::begin_return() { begin(Kind::returned); }
 
-std::optional<core::Counter> ContentAssembler::take(const Frame& frame) {
+std::optional<core::Counter> ContentAssembler::add_frame(const Frame& frame) {
   if (!in_progress() || frame.channel != kChannel) return core::Counter::amqp_stray_content;
-  const auto failure = frame.type == FrameType::header ? take_header(frame) : take_body(frame);
+  const auto failure = frame.type == FrameType::header ? add_header(frame) : add_body(frame);
   if (failure) return failure;
-  if (body_left_ == 0) complete();
+  if (body_remaining_ == 0) complete();
   return std::nullopt;
 }
 
-std::optional<core::Counter> ContentAssembler::take_header(const Frame& frame) {
+std::optional<core::Counter> ContentAssembler::add_header(const Frame& frame) {
   if (header_seen_) return core::Counter::amqp_malformed;
   auto header = decode_content_header(frame.payload);
   if (!header) return core::Counter::amqp_malformed;
   header_seen_ = true;
-  body_left_ = header->body_size;
+  body_remaining_ = header->body_size;
   delivery_.properties = std::move(header->properties);
-  delivery_.oversized = body_left_ > max_body_bytes_;
+  delivery_.oversized = body_remaining_ > max_body_bytes_;
   return std::nullopt;
 }
 
-std::optional<core::Counter> ContentAssembler::take_body(const Frame& frame) {
-  if (!header_seen_ || frame.payload.size() > body_left_) return core::Counter::amqp_malformed;
-  body_left_ -= frame.payload.size();
+std::optional<core::Counter> ContentAssembler::add_body(const Frame& frame) {
+  if (!header_seen_ || frame.payload.size() > body_remaining_) return core::Counter::amqp_malformed;
+  body_remaining_ -= frame.payload.size();
   if (!delivery_.oversized) delivery_.body += frame.payload;
   return std::nullopt;
 }
--- a/src/amqp/content_assembler.h
+++ b/src/amqp/content_assembler.h
@@ -43,7 +43,7 @@
   bool in_progress() const { return kind_ != Kind::none; }
 
   /// Takes a header or body frame. Returns why the connection has to end, or nothing.
-  std::optional<core::Counter> take(const Frame& frame);
+  std::optional<core::Counter> add_frame(const Frame& frame);
 
   /// The delivery that the last frame completed, once.
   std::optional<Delivery> take_delivery();
@@ -54,13 +54,13 @@
   std::size_t max_body_bytes_;
   Kind kind_ = Kind::none;
   bool header_seen_ = false;
-  std::uint64_t body_left_ = 0;  // octets
+  std::uint64_t body_remaining_ = 0;  // octets
   Delivery delivery_;
   bool delivery_complete_ = false;
 
   void begin(Kind kind);
-  std::optional<core::Counter> take_header(const Frame& frame);
-  std::optional<core::Counter> take_body(const Frame& frame);
+  std::optional<core::Counter> add_header(const Frame& frame);
+  std::optional<core::Counter> add_body(const Frame& frame);
   void complete();
 };
 
--- a/src/amqp/field_codec.cpp
+++ b/src/amqp/field_codec.cpp
@@ -27,7 +27,7 @@
 };
 
 template <typename Integer>
-FieldValue integer(Integer value) {
+FieldValue integer_value(Integer value) {
   return static_cast<std::int64_t>(value);
 }
 
@@ -69,13 +69,13 @@
 }
 
 std::string_view ArgumentReader::take(std::size_t octets) {
-  if (!ok_ || octets > left_.size()) {
+  if (!ok_ || octets > remaining_.size()) {
     ok_ = false;
-    left_ = {};
+    remaining_ = {};
     return {};
   }
-  const std::string_view part = left_.substr(0, octets);
-  left_.remove_prefix(octets);
+  const std::string_view part = remaining_.substr(0, octets);
+  remaining_.remove_prefix(octets);
   return part;
 }
 
@@ -96,37 +96,37 @@
 FieldValue ArgumentReader::field_value(int depth) {
   switch (u8()) {
     case 't': return u8() != 0;
-    case 'b': return integer(static_cast<std::int8_t>(u8()));
-    case 'B': return integer(u8());
+    case 'b': return integer_value(static_cast<std::int8_t>(u8()));
+    case 'B': return integer_value(u8());
     case 'U':
-    case 's': return integer(static_cast<std::int16_t>(u16()));
-    case 'u': return integer(u16());
-    case 'I': return integer(static_cast<std::int32_t>(u32()));
-    case 'i': return integer(u32());
+    case 's': return integer_value(static_cast<std::int16_t>(u16()));
+    case 'u': return integer_value(u16());
+    case 'I': return integer_value(static_cast<std::int32_t>(u32()));
+    case 'i': return integer_value(u32());
     case 'L':
-    case 'l': return integer(u64());
-    case 'T': return skipped(kTimestampSize);
+    case 'l': return integer_value(u64());
+    case 'T': return skip_value(kTimestampSize);
     case 'f': return static_cast<double>(real32());
     case 'd': return real64();
-    case 'D': return skipped(kDecimalSize);
+    case 'D': return skip_value(kDecimalSize);
     case 'S': return long_string();
-    case 'x': return skipped(u32());
-    case 'A': return skipped_items(false, depth);
-    case 'F': return skipped_items(true, depth);
+    case 'x': return skip_value(u32());
+    case 'A': return skip_items(false, depth);
+    case 'F': return skip_items(true, depth);
     case 'V': return {};
     default: ok_ = false; return {};
   }
 }
 
-FieldValue ArgumentReader::skipped(std::size_t octets) {
+FieldValue ArgumentReader::skip_value(std::size_t octets) {
   take(octets);
   return {};
 }
 
-FieldValue ArgumentReader::skipped_items(bool named, int depth) {
+FieldValue ArgumentReader::skip_items(bool named, int depth) {
   ArgumentReader inner(take(u32()));
   if (depth >= kMaxNesting) inner.ok_ = false;
-  while (inner.ok_ && !inner.left_.empty()) {
+  while (inner.ok_ && !inner.remaining_.empty()) {
     if (named) inner.short_string();
     inner.field_value(depth + 1);
   }
@@ -137,7 +137,7 @@
 FieldTable ArgumentReader::table() {
   ArgumentReader inner(take(u32()));
   FieldTable fields;
-  while (inner.ok_ && !inner.left_.empty()) {
+  while (inner.ok_ && !inner.remaining_.empty()) {
     std::string name = inner.short_string();
     fields[std::move(name)] = inner.field_value(0);
   }
--- a/src/amqp/field_codec.h
+++ b/src/amqp/field_codec.h
@@ -44,7 +44,7 @@
 /// bytes read.
 class ArgumentReader {
  public:
-  explicit ArgumentReader(std::string_view bytes) : left_(bytes) {}
+  explicit ArgumentReader(std::string_view bytes) : remaining_(bytes) {}
 
   std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
   std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
@@ -57,7 +57,7 @@
   bool ok() const { return ok_; }
 
  private:
-  std::string_view left_;
+  std::string_view remaining_;
   bool ok_ = true;
 
   std::uint64_t number(int octets);
@@ -65,8 +65,8 @@
   float real32();
   double real64();
   FieldValue field_value(int depth);
-  FieldValue skipped(std::size_t octets);
-  FieldValue skipped_items(bool named, int depth);
+  FieldValue skip_value(std::size_t octets);
+  FieldValue skip_items(bool named, int depth);
 };
 
 }  // namespace pathstack::amqp
--- a/src/amqp/frame.cpp
+++ b/src/amqp/frame.cpp
@@ -43,18 +43,18 @@
   frame_ = Frame();
   frame_.type = static_cast<FrameType>(header.u8());
   frame_.channel = header.u16();
-  payload_left_ = header.u32();
-  malformed_ = !is_known(frame_.type) || payload_left_ > max_payload_;
+  payload_remaining_ = header.u32();
+  malformed_ = !is_known(frame_.type) || payload_remaining_ > max_payload_;
   in_payload_ = true;
   header_.clear();
 }
 
 void FrameParser::take_payload(std::string_view& bytes, std::vector<Frame>& frames) {
-  const std::size_t part = std::min(payload_left_, bytes.size());
+  const std::size_t part = std::min(payload_remaining_, bytes.size());
   frame_.payload.append(bytes.substr(0, part));
   bytes.remove_prefix(part);
-  payload_left_ -= part;
-  if (payload_left_ > 0 || bytes.empty()) return;
+  payload_remaining_ -= part;
+  if (payload_remaining_ > 0 || bytes.empty()) return;
   malformed_ = bytes.front() != kFrameEnd;
   bytes.remove_prefix(1);
   in_payload_ = false;
--- a/src/amqp/frame.h
+++ b/src/amqp/frame.h
@@ -43,7 +43,7 @@
   std::size_t max_payload_ = std::size_t{128} * 1024;
   std::string header_;  // the octets of an incomplete frame header
   Frame frame_;
-  std::size_t payload_left_ = 0;
+  std::size_t payload_remaining_ = 0;
   bool in_payload_ = false;  // or before the end octet
   bool malformed_ = false;
 
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -106,16 +106,16 @@
 
 /// False if the call is unknown, or known and to be run again.
 bool Front::answer_duplicate(const Request& request) {
-  CachedCall* known = cache_.find(request.key);
-  if (known == nullptr) return false;
-  if (known->running()) {
+  CachedCall* cached = cache_.find(request.key);
+  if (cached == nullptr) return false;
+  if (cached->running()) {
     counters_.add(core::Counter::amqp_joined);
-    known->pending.push_back(request.reply);
+    cached->pending.push_back(request.reply);
     return true;
   }
   // A redelivery is the broker's repetition; a delivery that is none is the requester's retry.
   const bool is_retry = !request.redelivered;
-  if (is_retry && may_run_again(*known)) return false;
+  if (is_retry && may_run_again(*cached)) return false;
   counters_.add(core::Counter::amqp_remembered);
   replies_.reply(request.key, request.reply, request.redelivered);
   return true;
@@ -142,7 +142,7 @@
 void Front::dispatch(const Request& request, core::Call&& call, bool at_most_once) {
   // Workers want 16 hex digits that no open call has; message ids may be anything.
   call.ref = net::hex16(++last_ref_);
-  cache_.begin(request.key, at_most_once).pending.push_back(request.reply);
+  cache_.start(request.key, at_most_once).pending.push_back(request.reply);
   const core::CallId id = dispatcher_.next_id();
   running_[id] = request.key;
   const bool accepted = dispatcher_.take(id, std::move(call), *this);
@@ -152,7 +152,7 @@
 void Front::answer_without_running(const Request& request, bool at_most_once, CallStatus status,
                                    core::Counter reason) {
   counters_.add(reason);
-  cache_.begin(request.key, at_most_once);
+  cache_.start(request.key, at_most_once);
   cache_.complete(request.key, {status, Millis(0), {}});
   replies_.reply(request.key, request.reply, request.redelivered);
 }
@@ -162,9 +162,9 @@
   if (found == running_.end()) return;
   const CallKey key = found->second;
   running_.erase(found);
-  CachedCall* known = cache_.find(key);
-  if (known == nullptr) return;
-  const auto pending = std::exchange(known->pending, {});
+  CachedCall* cached = cache_.find(key);
+  if (cached == nullptr) return;
+  const auto pending = std::exchange(cached->pending, {});
   cache_.complete(key, std::move(answer));
   // Without a delivery to answer, the answer is kept until the broker delivers the call again.
   if (pending.empty()) counters_.add(core::Counter::amqp_answers_kept);
--- a/src/amqp/heartbeat.cpp
+++ b/src/amqp/heartbeat.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr double kHeartbeatsPerInterval = 2;  // one may be late without the broker ending the connection
-constexpr double kSilentIntervals = 2;        // after which the peer counts as dead
+constexpr double kPeerTimeoutIntervals = 2;   // after which the peer counts as dead
 
 }  // namespace
 
-Heartbeat::Heartbeat(net::Loop& loop, std::function<void()> send, std::function<void()> on_peer_silent)
-    : loop_(loop), send_(std::move(send)), on_peer_silent_(std::move(on_peer_silent)) {}
+Heartbeat::Heartbeat(net::Loop& loop, std::function<void()> send, std::function<void()> on_peer_timeout)
+    : loop_(loop), send_(std::move(send)), on_peer_timeout_(std::move(on_peer_timeout)) {}
 
 Heartbeat::~Heartbeat() { stop(); }
 
@@ -19,18 +19,19 @@
   interval_ = interval;
   if (!enabled()) return;
   send();
-  peer_active();
+  on_peer_activity();
 }
 
-void Heartbeat::peer_active() {
+void Heartbeat::on_peer_activity() {
   if (!enabled()) return;
-  loop_.cancel(silence_timer_);
-  silence_timer_ = loop_.at(loop_.now() + interval_ * kSilentIntervals, [this] { on_peer_silent_(); });
+  loop_.cancel(peer_timeout_timer_);
+  peer_timeout_timer_ =
+      loop_.at(loop_.now() + interval_ * kPeerTimeoutIntervals, [this] { on_peer_timeout_(); });
 }
 
 void Heartbeat::stop() {
   loop_.cancel(send_timer_);
-  loop_.cancel(silence_timer_);
+  loop_.cancel(peer_timeout_timer_);
 }
 
 void Heartbeat::send() {
--- a/src/amqp/heartbeat.h
+++ b/src/amqp/heartbeat.h
@@ -14,8 +14,8 @@
 /// the loop's timers).
 class Heartbeat {
  public:
-  /// `send` writes a heartbeat frame; `on_peer_silent` is called when the peer counts as dead.
-  Heartbeat(net::Loop& loop, std::function<void()> send, std::function<void()> on_peer_silent);
+  /// `send` writes a heartbeat frame; `on_peer_timeout` is called when the peer counts as dead.
+  Heartbeat(net::Loop& loop, std::function<void()> send, std::function<void()> on_peer_timeout);
   ~Heartbeat();
   Heartbeat(const Heartbeat&) = delete;
   Heartbeat& operator=(const Heartbeat&) = delete;
@@ -24,7 +24,7 @@
   void start(std::chrono::seconds interval);
 
   /// Called for whatever comes from the peer: any traffic stands for a heartbeat.
-  void peer_active();
+  void on_peer_activity();
 
   /// Ends both timers.
   void stop();
@@ -32,10 +32,10 @@
  private:
   net::Loop& loop_;
   std::function<void()> send_;
-  std::function<void()> on_peer_silent_;
+  std::function<void()> on_peer_timeout_;
   net::Millis interval_{0};
   net::Loop::TimerId send_timer_{};
-  net::Loop::TimerId silence_timer_{};
+  net::Loop::TimerId peer_timeout_timer_{};
 
   bool enabled() const { return interval_.count() > 0; }
   void send();
--- a/src/amqp/idempotency_cache.cpp
+++ b/src/amqp/idempotency_cache.cpp
@@ -19,7 +19,7 @@
   return found == entries_.end() ? nullptr : &found->second.call;
 }
 
-CachedCall& IdempotencyCache::begin(const CallKey& key, bool at_most_once) {
+CachedCall& IdempotencyCache::start(const CallKey& key, bool at_most_once) {
   erase(key);
   Entry& entry = entries_[key];
   entry.call.at_most_once = at_most_once;
--- a/src/amqp/idempotency_cache.h
+++ b/src/amqp/idempotency_cache.h
@@ -49,7 +49,7 @@
 /// so that its pending replies can be answered.
 ///
 /// Owned by Front; not thread-safe. Calls cost O(1) but where noted. References and pointers to entries are
-/// valid up to the next `begin` or `complete`.
+/// valid up to the next `start` or `complete`.
 class IdempotencyCache {
  public:
   /// At most `max_completed` completed calls, which take at most about `max_bytes`.
@@ -60,7 +60,7 @@
   CachedCall* find(const CallKey& key);
 
   /// Files a call that runs from now on, in place of whatever was known under `key`.
-  CachedCall& begin(const CallKey& key, bool at_most_once);
+  CachedCall& start(const CallKey& key, bool at_most_once);
 
   /// Files the answer of a running call; without effect if `key` is unknown or has its answer. Evicts as
   /// needed: amortized O(1).
@@ -73,7 +73,7 @@
   std::size_t size() const { return entries_.size(); }
 
   /// The number of calls without an answer yet.
-  std::size_t running() const { return entries_.size() - completed_.size(); }
+  std::size_t running_count() const { return entries_.size() - completed_.size(); }
 
  private:
   struct Entry {
--- a/src/amqp/reply_publisher.cpp
+++ b/src/amqp/reply_publisher.cpp
@@ -24,90 +24,91 @@
 
 void ReplyPublisher::reply(const CallKey& key, const PendingReply& delivery, bool redelivered) {
   const CachedCall& call = *cache_.find(key);
-  if (Publishing* same = find_in_progress(key, delivery.address, call.answer)) {
-    same->tags.push_back(delivery.tag);
+  if (OutgoingReply* in_progress = find_in_progress(key, delivery.address, call.answer)) {
+    in_progress->tags.push_back(delivery.tag);
     return;
   }
   const auto& confirmed = call.confirmed;
-  const bool has_answer = std::find(confirmed.begin(), confirmed.end(), delivery.address) != confirmed.end();
-  const bool only_ack_was_lost = has_answer && redelivered;
+  const bool already_confirmed =
+      std::find(confirmed.begin(), confirmed.end(), delivery.address) != confirmed.end();
+  const bool only_ack_was_lost = already_confirmed && redelivered;
   if (only_ack_was_lost) return channel_->ack(delivery.tag);
   publish({key, delivery.address, call.answer, {delivery.tag}});
 }
 
 // The answers are compared too: a call sent anew after a refusal has an answer of its own, also while the
 // refusal is not confirmed yet.
-ReplyPublisher::Publishing* ReplyPublisher::find_in_progress(
+ReplyPublisher::OutgoingReply* ReplyPublisher::find_in_progress(
     const CallKey& key, const ReplyAddress& address, const std::shared_ptr<const core::Answer>& answer) {
-  const auto is_same = [&](const Publishing& publishing) {
-    return publishing.key == key && publishing.address == address && publishing.answer == answer;
+  const auto is_same = [&](const OutgoingReply& outgoing) {
+    return outgoing.key == key && outgoing.address == address && outgoing.answer == answer;
   };
-  for (auto& [sequence, publishing] : unconfirmed_) {
-    if (is_same(publishing)) return &publishing;
+  for (auto& [sequence, outgoing] : unconfirmed_) {
+    if (is_same(outgoing)) return &outgoing;
   }
-  for (auto& publishing : unsent_) {
-    if (is_same(publishing)) return &publishing;
+  for (auto& outgoing : unsent_) {
+    if (is_same(outgoing)) return &outgoing;
   }
   return nullptr;
 }
 
-void ReplyPublisher::publish(Publishing&& publishing) {
+void ReplyPublisher::publish(OutgoingReply&& outgoing) {
   if (!channel_->may_publish()) {
-    unsent_.push_back(std::move(publishing));
+    unsent_.push_back(std::move(outgoing));
     return;
   }
-  const BasicProperties properties = encode_answer(*publishing.answer, publishing.key, publishing.address);
+  const BasicProperties properties = encode_answer(*outgoing.answer, outgoing.key, outgoing.address);
   const PublishSequence sequence =
-      channel_->publish(publishing.address.reply_to, properties, publishing.answer->body);
-  unconfirmed_.emplace(sequence, std::move(publishing));
+      channel_->publish(outgoing.address.reply_to, properties, outgoing.answer->body);
+  unconfirmed_.emplace(sequence, std::move(outgoing));
 }
 
 void ReplyPublisher::publish_unsent() {
   for (std::size_t left = unsent_.size(); left > 0; --left) {
     if (channel_ == nullptr || !channel_->may_publish()) return;
-    Publishing next = std::move(unsent_.front());
+    OutgoingReply next = std::move(unsent_.front());
     unsent_.pop_front();
     publish(std::move(next));
   }
 }
 
 void ReplyPublisher::on_publisher_confirm(const PublisherConfirm& confirm) {
-  for (auto& publishing : take_settled(confirm)) {
+  for (auto& outgoing : take_settled(confirm)) {
     if (confirm.outcome == PublisherConfirm::Outcome::acked) {
-      on_acked(publishing);
+      on_acked(outgoing);
     } else {
-      on_nacked(std::move(publishing));
+      on_nacked(std::move(outgoing));
     }
   }
 }
 
 // A sequence number that is not known here gives nothing.
-std::vector<ReplyPublisher::Publishing> ReplyPublisher::take_settled(const PublisherConfirm& confirm) {
-  const bool all_so_far = confirm.multiple && confirm.sequence == PublishSequence{0};
+std::vector<ReplyPublisher::OutgoingReply> ReplyPublisher::take_settled(const PublisherConfirm& confirm) {
+  const bool covers_all = confirm.multiple && confirm.sequence == PublishSequence{0};
   auto first = unconfirmed_.begin();
   auto last = unconfirmed_.end();
   if (!confirm.multiple) {
     std::tie(first, last) = unconfirmed_.equal_range(confirm.sequence);
-  } else if (!all_so_far) {
+  } else if (!covers_all) {
     last = unconfirmed_.upper_bound(confirm.sequence);
   }
-  std::vector<Publishing> settled;
+  std::vector<OutgoingReply> settled;
   for (auto i = first; i != last; ++i) settled.push_back(std::move(i->second));
   unconfirmed_.erase(first, last);
   return settled;
 }
 
-void ReplyPublisher::on_acked(const Publishing& publishing) {
-  if (CachedCall* call = cache_.find(publishing.key)) {
+void ReplyPublisher::on_acked(const OutgoingReply& outgoing) {
+  if (CachedCall* call = cache_.find(outgoing.key)) {
     if (call->confirmed.size() >= kMaxConfirmedAddresses) call->confirmed.erase(call->confirmed.begin());
-    call->confirmed.push_back(publishing.address);
+    call->confirmed.push_back(outgoing.address);
   }
-  for (const DeliveryTag tag : publishing.tags) channel_->ack(tag);
+  for (const DeliveryTag tag : outgoing.tags) channel_->ack(tag);
 }
 
-void ReplyPublisher::on_nacked(Publishing&& publishing) {
+void ReplyPublisher::on_nacked(OutgoingReply&& outgoing) {
   counters_.add(core::Counter::amqp_nacked);
-  unsent_.push_back(std::move(publishing));
+  unsent_.push_back(std::move(outgoing));
   loop_.cancel(republish_timer_);
   republish_timer_ = loop_.at(loop_.now() + kRepublishDelay, [this] { publish_unsent(); });
 }
--- a/src/amqp/reply_publisher.h
+++ b/src/amqp/reply_publisher.h
@@ -54,7 +54,7 @@
   bool idle() const { return unconfirmed_.empty() && unsent_.empty(); }
 
  private:
-  struct Publishing {
+  struct OutgoingReply {
     CallKey key;
     ReplyAddress address;
     std::shared_ptr<const core::Answer> answer;
@@ -65,16 +65,16 @@
   core::Counters& counters_;
   IdempotencyCache& cache_;
   Channel* channel_ = nullptr;
-  std::map<PublishSequence, Publishing> unconfirmed_;
-  std::deque<Publishing> unsent_;  // nacked by the broker, or it has asked for a pause
+  std::map<PublishSequence, OutgoingReply> unconfirmed_;
+  std::deque<OutgoingReply> unsent_;  // nacked by the broker, or it has asked for a pause
   net::Loop::TimerId republish_timer_{};
 
-  Publishing* find_in_progress(const CallKey& key, const ReplyAddress& address,
-                               const std::shared_ptr<const core::Answer>& answer);
-  void publish(Publishing&& publishing);
-  std::vector<Publishing> take_settled(const PublisherConfirm& confirm);
-  void on_acked(const Publishing& publishing);
-  void on_nacked(Publishing&& publishing);
+  OutgoingReply* find_in_progress(const CallKey& key, const ReplyAddress& address,
+                                  const std::shared_ptr<const core::Answer>& answer);
+  void publish(OutgoingReply&& outgoing);
+  std::vector<OutgoingReply> take_settled(const PublisherConfirm& confirm);
+  void on_acked(const OutgoingReply& outgoing);
+  void on_nacked(OutgoingReply&& outgoing);
 };
 
 }  // namespace pathstack::amqp
--- a/tests/invoker/amqp_channel_parts_test.cpp
+++ b/tests/invoker/amqp_channel_parts_test.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-amqp::BrokerSettings two_queues() {
+amqp::BrokerSettings broker_with_two_queues() {
   amqp::BrokerSettings broker;
   broker.queues = {"a", "b"};
   return broker;
@@ -67,7 +67,7 @@
 amqp::Frame body_frame(const std::string& body) { return {FrameType::body, amqp::kChannel, body}; }
 
 TEST_CASE("the set-up of an AMQP connection is complete once every consumer runs") {
-  const amqp::BrokerSettings broker = two_queues();
+  const amqp::BrokerSettings broker = broker_with_two_queues();
   RecordingSink sink;
   amqp::ConnectionSetup setup(broker, sink);
   CHECK(handle(setup, Method::connection_start, start_offering("AMQPLAIN PLAIN")) == std::nullopt);
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("the set-up of an AMQP connection names why it fails") {
-  const amqp::BrokerSettings broker = two_queues();
+  const amqp::BrokerSettings broker = broker_with_two_queues();
   RecordingSink sink;
   amqp::ConnectionSetup setup(broker, sink);
   CHECK(handle(setup, Method::connection_open_ok) == Counter::amqp_out_of_order);
@@ -102,11 +102,11 @@
 TEST_CASE("a delivery is complete with the last byte of its body") {
   ContentAssembler content(8);
   content.begin_delivery(DeliveryTag{7}, true);
-  CHECK(content.take(header_frame(5)) == std::nullopt);
-  CHECK(content.take(body_frame("abc")) == std::nullopt);
+  CHECK(content.add_frame(header_frame(5)) == std::nullopt);
+  CHECK(content.add_frame(body_frame("abc")) == std::nullopt);
   CHECK(content.in_progress());
   CHECK_FALSE(content.take_delivery());
-  CHECK(content.take(body_frame("de")) == std::nullopt);
+  CHECK(content.add_frame(body_frame("de")) == std::nullopt);
   CHECK_FALSE(content.in_progress());
   const auto delivery = content.take_delivery();
   REQUIRE(delivery);
@@ -119,26 +119,26 @@
 TEST_CASE("a body over the limit is not kept, and a returned message is no delivery") {
   ContentAssembler content(2);
   content.begin_delivery(DeliveryTag{1}, false);
-  CHECK(content.take(header_frame(3)) == std::nullopt);
-  CHECK(content.take(body_frame("abc")) == std::nullopt);
+  CHECK(content.add_frame(header_frame(3)) == std::nullopt);
+  CHECK(content.add_frame(body_frame("abc")) == std::nullopt);
   const auto delivery = content.take_delivery();
   REQUIRE(delivery);
   CHECK(delivery->oversized);
   CHECK(delivery->body.empty());
   content.begin_return();
-  CHECK(content.take(header_frame(0)) == std::nullopt);
+  CHECK(content.add_frame(header_frame(0)) == std::nullopt);
   CHECK_FALSE(content.in_progress());
   CHECK_FALSE(content.take_delivery());
 }
 
 TEST_CASE("content frames out of place end the connection, each under its reason") {
   ContentAssembler content(8);
-  CHECK(content.take(header_frame(1)) == Counter::amqp_stray_content);
+  CHECK(content.add_frame(header_frame(1)) == Counter::amqp_stray_content);
   content.begin_delivery(DeliveryTag{1}, false);
-  CHECK(content.take(body_frame("a")) == Counter::amqp_malformed);
-  CHECK(content.take(header_frame(1)) == std::nullopt);
-  CHECK(content.take(header_frame(1)) == Counter::amqp_malformed);
-  CHECK(content.take(body_frame("ab")) == Counter::amqp_malformed);
+  CHECK(content.add_frame(body_frame("a")) == Counter::amqp_malformed);
+  CHECK(content.add_frame(header_frame(1)) == std::nullopt);
+  CHECK(content.add_frame(header_frame(1)) == Counter::amqp_malformed);
+  CHECK(content.add_frame(body_frame("ab")) == Counter::amqp_malformed);
 }
 
 }  // namespace
@@ -147,11 +147,11 @@
   ContentAssembler content(8);
   content.begin_delivery(DeliveryTag{1}, false);
   SECTION("its header") {
-    CHECK(content.take(on_connection_channel(header_frame(3))) == Counter::amqp_stray_content);
+    CHECK(content.add_frame(on_connection_channel(header_frame(3))) == Counter::amqp_stray_content);
   }
   SECTION("its body") {
-    CHECK_FALSE(content.take(header_frame(3)));
-    CHECK(content.take(on_connection_channel(body_frame("abc"))) == Counter::amqp_stray_content);
+    CHECK_FALSE(content.add_frame(header_frame(3)));
+    CHECK(content.add_frame(on_connection_channel(body_frame("abc"))) == Counter::amqp_stray_content);
   }
   CHECK_FALSE(content.take_delivery());
 }
--- a/tests/invoker/support/stand_in_broker.h
+++ b/tests/invoker/support/stand_in_broker.h
@@ -50,7 +50,7 @@
 
     std::map<std::uint64_t, Message> unacked;  // by delivery tag
     std::uint64_t last_delivery_tag = 0;
-    std::uint64_t publishings = 0;
+    std::uint64_t published_count = 0;
     std::size_t prefetch = 0;
     bool consuming = false;
 
@@ -60,9 +60,9 @@
     StandInBroker& broker_;
     std::string protocol_header_;
     amqp::FrameParser parser_;
-    Message publishing_;
+    Message incoming_;
     std::string reply_queue_;
-    std::uint64_t body_left_ = 0;
+    std::uint64_t body_remaining_ = 0;
 
     void received(std::string_view bytes) override {
       broker_.received_bytes += bytes;
@@ -99,15 +99,15 @@
     void on_content_header(const amqp::Frame& frame) {
       auto header = amqp::decode_content_header(frame.payload);
       REQUIRE(header);
-      body_left_ = header->body_size;
-      publishing_ = {std::move(header->properties), {}, false};
-      if (body_left_ == 0) broker_.on_publishing(*this, reply_queue_, publishing_);
+      body_remaining_ = header->body_size;
+      incoming_ = {std::move(header->properties), {}, false};
+      if (body_remaining_ == 0) broker_.on_message_published(*this, reply_queue_, incoming_);
     }
 
     void on_content_body(const amqp::Frame& frame) {
-      publishing_.body += frame.payload;
-      body_left_ -= frame.payload.size();
-      if (body_left_ == 0) broker_.on_publishing(*this, reply_queue_, publishing_);
+      incoming_.body += frame.payload;
+      body_remaining_ -= frame.payload.size();
+      if (body_remaining_ == 0) broker_.on_message_published(*this, reply_queue_, incoming_);
     }
 
     void on_method(amqp::Method method, amqp::ArgumentReader& arguments) {
@@ -201,7 +201,7 @@
       : random(seed), server(loop, pool, *this) {}
 
   /// True with that chance in a thousand.
-  bool chance(unsigned in_thousand) { return below(random, 1000) < in_thousand; }
+  bool chance(unsigned per_mille) { return below(random, 1000) < per_mille; }
 
   /// Enqueues a call with message id `id` and correlation id "c-" + `id`; `headers` add to the usual ones or
   /// take their place.
@@ -226,7 +226,7 @@
   }
 
   void drop_connections() {
-    dropped += server.peers.size();
+    dropped_connections += server.peers.size();
     for (const auto& peer : server.peers) peer->end_later();
   }
 
@@ -246,9 +246,9 @@
 
   /// Takes an answer. The connection may be dropped before it arrives, before its confirm arrives, or before
   /// the client's acknowledgement of the delivery arrives.
-  void on_publishing(Peer& peer, const std::string& reply_queue, const Message& answer) {
+  void on_message_published(Peer& peer, const std::string& reply_queue, const Message& answer) {
     if (chance(faults.drop / 2)) return drop(peer);
-    const std::uint64_t sequence = ++peer.publishings;
+    const std::uint64_t sequence = ++peer.published_count;
     if (chance(faults.nack)) return write_confirm(peer, amqp::Method::basic_nack, sequence);
     REQUIRE(reply_queue == "answers");
     answers.push_back(answer);
@@ -271,14 +271,14 @@
   std::vector<Message> answers;  // in the order in which they arrived
   std::map<std::string, std::vector<Message>> answers_by_correlation_id;
   std::string received_bytes;  // from all peers, as they came
-  std::size_t acked = 0, rejected = 0, dropped = 0;
+  std::size_t acked = 0, rejected = 0, dropped_connections = 0;
   std::uint16_t heartbeat_s = 0;  // offered in connection.tune; this broker sends none, whatever it agreed to
   int missing_queues = 0;         // so many basic.consume are answered by NOT_FOUND
   bool withholds_confirms = false;
 
  private:
   void drop(Peer& peer) {
-    ++dropped;
+    ++dropped_connections;
     peer.end_later();
   }
 
--- a/tests/invoker/triggers.h
+++ b/tests/invoker/triggers.h
@@ -13,10 +13,10 @@
 namespace pathstack::test {
 
 /// Fixture: a front that consumes the queue `calls` of a stand-in broker. All parts run on one loop.
-class Triggers {
+class AmqpFixture {
  public:
-  explicit Triggers(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
-                    const core::Settings& s = settings())
+  explicit AmqpFixture(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
+                       const core::Settings& s = settings())
       : world(hosts, s), broker(world.loop, world.pool, seed) {
     amqp::BrokerSettings broker_settings;
     broker_settings.address = broker.server.address();
@@ -28,13 +28,13 @@
   }
 
   /// Runs the loop until so many answers came to the call; false if they don't come within the limit.
-  bool answered(const std::string& id, std::size_t times = 1) {
+  bool run_until_answered(const std::string& id, std::size_t times = 1) {
     constexpr int max_turns = 20000;
     return world.turn_until([&] { return broker.answers_to(id).size() >= times; }, max_turns);
   }
 
   /// Runs the loop until nothing is open at broker or front; false if that doesn't come within the limit.
-  bool settled() {
+  bool run_until_settled() {
     constexpr int max_turns = 200000;
     return world.turn_until([&] { return broker.queue.empty() && unacked() == 0 && front->done(); },
                             max_turns);
--- a/tests/invoker/triggers_chaos.cpp
+++ b/tests/invoker/triggers_chaos.cpp
@@ -19,10 +19,10 @@
 
 std::string message_id(std::size_t call) { return "m" + std::to_string(call); }
 
-const char* reply_word(std::size_t dice) {
-  if (dice < 40) return "absent";
-  if (dice < 60) return "full";
-  if (dice < 80) return "failed";
+const char* reply_word(std::size_t roll) {
+  if (roll < 40) return "absent";
+  if (roll < 60) return "full";
+  if (roll < 80) return "failed";
   return "data";
 }
 
@@ -37,50 +37,50 @@
 }
 
 ChaosRun::ChaosRun(std::uint64_t seed, ChaosLimits limits)
-    : limits_(limits), settings_(short_deadlines()), triggers_(kHosts, seed, {}, settings_), random_(seed) {
+    : limits_(limits), settings_(short_deadlines()), fixture_(kHosts, seed, {}, settings_), random_(seed) {
   StandInBroker::Faults faults;
   faults.drop = 12;
   faults.redeliver = 60;
   faults.reorder = 300;
   faults.nack = 40;
-  triggers_.broker.faults = faults;
+  fixture_.broker.faults = faults;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    triggers_.world.host[i]->react = [this, i](const std::string&) { return react(i); };
+    fixture_.world.host[i]->react = [this, i](const std::string&) { return react(i); };
   }
 }
 
 ChaosTally ChaosRun::run() {
-  began_ = triggers_.world.loop.now();
+  began_ = fixture_.world.loop.now();
   while (tally_.sent < limits_.calls) {
     if (timed() && elapsed() >= limits_.duration) break;
     send_due_calls();
-    triggers_.world.turn();
+    fixture_.world.turn();
     drop_connections_if_due();
     drain_next_host_if_due();
   }
-  tally_.settled = triggers_.settled();
+  tally_.settled = fixture_.run_until_settled();
   count_answers();
   count_duplicate_runs();
-  tally_.connections_dropped = triggers_.broker.dropped;
+  tally_.connections_dropped = fixture_.broker.dropped_connections;
   return tally_;
 }
 
 Reaction ChaosRun::react(std::size_t host) {
-  const auto& listed = triggers_.world.host_states[host];
+  const auto& listed = fixture_.world.host_states[host];
   const bool draining = listed.state != policy::WorkerState::ready;
-  const bool grace_is_over = triggers_.world.loop.now() - listed.at > settings_.drain_grace;
+  const bool grace_is_over = fixture_.world.loop.now() - listed.at > settings_.drain_grace;
   if (draining && grace_is_over) ++tally_.sent_after_drain;
-  const std::size_t dice = below(random_, 1000);
-  if (dice < 10) return {Reaction::silence, ""};
-  if (dice < 13) return {Reaction::truncated, "data"};
-  if (dice < 16) return {Reaction::close, ""};
-  return {Reaction::reply, reply_word(dice)};
+  const std::size_t roll = below(random_, 1000);
+  if (roll < 10) return {Reaction::silence, ""};
+  if (roll < 13) return {Reaction::truncated, "data"};
+  if (roll < 16) return {Reaction::close, ""};
+  return {Reaction::reply, reply_word(roll)};
 }
 
 void ChaosRun::send_due_calls() {
   const auto due = timed() ? static_cast<std::size_t>(elapsed().count() / kMillisPerCall) : limits_.calls;
   for (int i = 0; i < kMaxSentPerTurn; ++i) {
-    if (tally_.sent >= due || triggers_.broker.queue.size() >= kMaxQueued) return;
+    if (tally_.sent >= due || fixture_.broker.queue.size() >= kMaxQueued) return;
     send_call();
   }
 }
@@ -89,7 +89,7 @@
   const bool at_most_once = below(random_, 3) == 0;
   const std::string id = message_id(tally_.sent++);
   const std::string body = "bin of " + id;
-  triggers_.broker.send(id, at_most_once ? "bin-record" : "bin-check", body);
+  fixture_.broker.send(id, at_most_once ? "bin-record" : "bin-check", body);
   if (at_most_once) at_most_once_bodies_.push_back(body);
 }
 
@@ -98,14 +98,14 @@
   const bool due = timed() ? below(random_, kDropOneTurnIn) == 0 : tally_.sent >= next_drop_;
   if (!due) return;
   next_drop_ += kCallsBetweenDrops;
-  triggers_.broker.drop_connections();
+  fixture_.broker.drop_connections();
 }
 
 // One host drains at a time, and comes back as a new incarnation when the next one goes.
 void ChaosRun::drain_next_host_if_due() {
   if (tally_.sent < next_drain_) return;
   next_drain_ += kCallsBetweenDrains;
-  World& world = triggers_.world;
+  World& world = fixture_.world;
   const std::size_t returning = tally_.hosts_drained % kHosts;
   ++tally_.hosts_drained;
   const std::size_t leaving = tally_.hosts_drained % kHosts;
@@ -115,7 +115,7 @@
 
 void ChaosRun::count_answers() {
   for (std::size_t i = 0; i < tally_.sent; ++i) {
-    const auto& answers = triggers_.broker.answers_to(message_id(i));
+    const auto& answers = fixture_.broker.answers_to(message_id(i));
     if (answers.empty()) {
       ++tally_.lost_answers;
       continue;
@@ -132,7 +132,7 @@
 void ChaosRun::count_duplicate_runs() {
   for (const auto& body : at_most_once_bodies_) {
     int runs = 0;
-    for (const auto& host : triggers_.world.host) {
+    for (const auto& host : fixture_.world.host) {
       const auto found = host->runs.find(body);
       if (found != host->runs.end()) runs += found->second;
     }
--- a/tests/invoker/triggers_chaos.h
+++ b/tests/invoker/triggers_chaos.h
@@ -50,7 +50,7 @@
  private:
   ChaosLimits limits_;
   core::Settings settings_;
-  Triggers triggers_;
+  AmqpFixture fixture_;
   Random random_;
   ChaosTally tally_;
   Millis began_{0};
@@ -59,7 +59,7 @@
   std::size_t next_drain_ = 40;  // calls sent
 
   bool timed() const { return limits_.duration.count() > 0; }
-  Millis elapsed() const { return triggers_.world.loop.now() - began_; }
+  Millis elapsed() const { return fixture_.world.loop.now() - began_; }
   Reaction react(std::size_t host);
   void send_due_calls();
   void send_call();
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -14,16 +14,16 @@
 using Kind = Reaction::Kind;
 
 TEST_CASE("a delivery is served, its body unchanged, and acknowledged once the answer is confirmed") {
-  Triggers t(2);
+  AmqpFixture fixture(2);
   const std::string body = std::string("bin\0\r\n\xCE", 7) + std::string(9000, 'x');
-  t.broker.send("a", "bin-record", body);
-  REQUIRE(t.answered("a"));
-  const auto& answer = t.broker.answers_to("a")[0];
+  fixture.broker.send("a", "bin-record", body);
+  REQUIRE(fixture.run_until_answered("a"));
+  const auto& answer = fixture.broker.answers_to("a")[0];
   CHECK(status_of(answer) == "OK");
   CHECK(answer.body == body);
   CHECK(answer.properties.message_id == "a");
-  REQUIRE(t.settled());
-  CHECK(t.broker.acked == 1);
+  REQUIRE(fixture.run_until_settled());
+  CHECK(fixture.broker.acked == 1);
 }
 
 std::string hex_of(std::string_view bytes) {
@@ -37,9 +37,9 @@
 
 // The greeting, then each frame with its header and end octet.
 std::vector<std::string> frames_in_hex(std::string_view bytes) {
-  constexpr std::size_t greeting_size = 8, frame_header_size = 7;
-  std::vector<std::string> out = {hex_of(bytes.substr(0, greeting_size))};
-  bytes.remove_prefix(std::min(greeting_size, bytes.size()));
+  constexpr std::size_t protocol_header_size = 8, frame_header_size = 7;
+  std::vector<std::string> out = {hex_of(bytes.substr(0, protocol_header_size))};
+  bytes.remove_prefix(std::min(protocol_header_size, bytes.size()));
   while (bytes.size() > frame_header_size) {
     const std::size_t payload = amqp::ArgumentReader(bytes.substr(3, 4)).u32();
     const std::string_view frame = bytes.substr(0, frame_header_size + payload + 1);
@@ -51,15 +51,16 @@
 
 // Brokers see the product name and the consumer tags; neither they nor anything else may change unnoticed.
 TEST_CASE("the frames of a session stand byte for byte") {
-  Triggers t(1);
-  t.broker.send("a", "bin-check", "x");
-  REQUIRE(t.answered("a"));
-  t.broker.enqueue({{}, "no reply queue", false});
-  REQUIRE(t.world.turn_until([&] { return t.broker.rejected == 1; }, 20000));
-  REQUIRE(t.settled());
-  t.front->drain();
-  t.front->close();
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_down) == 1; }, 20000));
+  AmqpFixture fixture(1);
+  fixture.broker.send("a", "bin-check", "x");
+  REQUIRE(fixture.run_until_answered("a"));
+  fixture.broker.enqueue({{}, "no reply queue", false});
+  REQUIRE(fixture.world.turn_until([&] { return fixture.broker.rejected == 1; }, 20000));
+  REQUIRE(fixture.run_until_settled());
+  fixture.front->drain();
+  fixture.front->close();
+  REQUIRE(fixture.world.turn_until(
+      [&] { return fixture.world.counters.value(core::Counter::amqp_down) == 1; }, 20000));
   const std::vector<std::string> expected = {
       "414d515000000901",  // the protocol header
       // connection.start-ok, with the product name "lotusyard"
@@ -82,98 +83,100 @@
       "01000100000011003c001e0b6c6f747573796172642d3000ce",   // basic.cancel
       "01000000000012000a003200c807676f6f6462796500000000ce"  // connection.close
   };
-  CHECK(frames_in_hex(t.broker.received_bytes) == expected);
+  CHECK(frames_in_hex(fixture.broker.received_bytes) == expected);
 }
 
 TEST_CASE("a nacked answer is published again and acknowledged only then") {
-  Triggers t(1);
-  t.broker.faults.nack = 1000;
-  t.broker.send("a", "bin-check", "x");
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_nacked) > 0; }, 20000));
-  CHECK(t.broker.acked == 0);
-  t.broker.faults.nack = 0;
-  REQUIRE(t.settled());
-  CHECK(t.broker.acked == 1);
-  CHECK(t.broker.answers.size() == 1);
+  AmqpFixture fixture(1);
+  fixture.broker.faults.nack = 1000;
+  fixture.broker.send("a", "bin-check", "x");
+  REQUIRE(fixture.world.turn_until(
+      [&] { return fixture.world.counters.value(core::Counter::amqp_nacked) > 0; }, 20000));
+  CHECK(fixture.broker.acked == 0);
+  fixture.broker.faults.nack = 0;
+  REQUIRE(fixture.run_until_settled());
+  CHECK(fixture.broker.acked == 1);
+  CHECK(fixture.broker.answers.size() == 1);
 }
 
 TEST_CASE("what a host says is what the answer says") {
-  Triggers t(2);
+  AmqpFixture fixture(2);
   std::string word = "failed";
-  for (auto& h : t.world.host) {
+  for (auto& h : fixture.world.host) {
     h->react = [&](const std::string&) { return Reaction{word.empty() ? Kind::silence : Kind::reply, word}; };
   }
   SECTION("an error of a bin-record may have run: failed, and not tried again") {
-    t.broker.send("a", "bin-record", "x");
-    REQUIRE(t.answered("a"));
-    CHECK(status_of(t.broker.answers_to("a")[0]) == "FAILED");
-    CHECK(t.world.host[0]->execs + t.world.host[1]->execs == 1);
+    fixture.broker.send("a", "bin-record", "x");
+    REQUIRE(fixture.run_until_answered("a"));
+    CHECK(status_of(fixture.broker.answers_to("a")[0]) == "FAILED");
+    CHECK(fixture.world.host[0]->execs + fixture.world.host[1]->execs == 1);
   }
   SECTION("hosts that are full prove that it never ran: refused") {
     word = "full";
-    t.broker.send("a", "bin-record", "x");
-    REQUIRE(t.answered("a"));
-    CHECK(status_of(t.broker.answers_to("a")[0]) == "BUSY");
-    CHECK(std::get<std::int64_t>(t.broker.answers_to("a")[0].properties.headers.at("cooldown")) > 0);
-    CHECK(t.world.host[0]->runs.empty());
+    fixture.broker.send("a", "bin-record", "x");
+    REQUIRE(fixture.run_until_answered("a"));
+    CHECK(status_of(fixture.broker.answers_to("a")[0]) == "BUSY");
+    CHECK(std::get<std::int64_t>(fixture.broker.answers_to("a")[0].properties.headers.at("cooldown")) > 0);
+    CHECK(fixture.world.host[0]->runs.empty());
   }
   SECTION("a stuck host: failed at the call's own deadline") {
     word.clear();
-    t.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{200}}});
-    REQUIRE(t.answered("a"));
-    CHECK(status_of(t.broker.answers_to("a")[0]) == "FAILED");
-    CHECK(t.world.host[0]->cancels + t.world.host[1]->cancels <= 1);
+    fixture.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{200}}});
+    REQUIRE(fixture.run_until_answered("a"));
+    CHECK(status_of(fixture.broker.answers_to("a")[0]) == "FAILED");
+    CHECK(fixture.world.host[0]->cancels + fixture.world.host[1]->cancels <= 1);
   }
 }
 
 TEST_CASE("malformed deliveries are failed where they can be answered, else rejected") {
-  Triggers t(1);
-  t.broker.send("noclass", "no-such-class", "x");
-  t.broker.send("badkey", "bin-check", "x", {{"lookup", std::string("zz")}});
-  t.broker.send("badallow", "bin-check", "x", {{"allow", std::int64_t{-1}}});
-  t.broker.send("big", "bin-check", std::string(20000, 'x'));
-  t.broker.enqueue({{}, "no way to answer", false});
-  REQUIRE(t.world.turn_until([&] { return t.broker.acked + t.broker.rejected == 5; }, 20000));
-  CHECK(t.broker.rejected == 1);
+  AmqpFixture fixture(1);
+  fixture.broker.send("noclass", "no-such-class", "x");
+  fixture.broker.send("badkey", "bin-check", "x", {{"lookup", std::string("zz")}});
+  fixture.broker.send("badallow", "bin-check", "x", {{"allow", std::int64_t{-1}}});
+  fixture.broker.send("big", "bin-check", std::string(20000, 'x'));
+  fixture.broker.enqueue({{}, "no way to answer", false});
+  REQUIRE(
+      fixture.world.turn_until([&] { return fixture.broker.acked + fixture.broker.rejected == 5; }, 20000));
+  CHECK(fixture.broker.rejected == 1);
   for (const char* id : {"noclass", "badkey", "badallow", "big"}) {
-    REQUIRE(t.broker.answers_to(id).size() == 1);
-    CHECK(status_of(t.broker.answers_to(id)[0]) == "FAILED");
+    REQUIRE(fixture.broker.answers_to(id).size() == 1);
+    CHECK(status_of(fixture.broker.answers_to(id)[0]) == "FAILED");
   }
-  CHECK(t.world.host[0]->execs == 0);
+  CHECK(fixture.world.host[0]->execs == 0);
 }
 
 TEST_CASE("a bin-record redelivered to a process that knows nothing of it is failed, not run") {
-  Triggers t(1);
+  AmqpFixture fixture(1);
   StandInBroker::Message m;
-  t.broker.send("fresh", "bin-check", "x");
-  REQUIRE(t.answered("fresh"));
-  m.properties = t.broker.answers[0].properties;
+  fixture.broker.send("fresh", "bin-check", "x");
+  REQUIRE(fixture.run_until_answered("fresh"));
+  m.properties = fixture.broker.answers[0].properties;
   m.properties.message_id = "old";
   m.properties.correlation_id = "c-old";
   m.properties.reply_to = "answers";
   m.properties.headers = {{"class", std::string("bin-record")}, {"lookup", std::string("00000000000000a1")}};
   m.redelivered = true;
-  t.broker.enqueue(std::move(m));
-  REQUIRE(t.answered("old"));
-  CHECK(status_of(t.broker.answers_to("old")[0]) == "FAILED");
-  CHECK(t.world.host[0]->execs == 1);
+  fixture.broker.enqueue(std::move(m));
+  REQUIRE(fixture.run_until_answered("old"));
+  CHECK(status_of(fixture.broker.answers_to("old")[0]) == "FAILED");
+  CHECK(fixture.world.host[0]->execs == 1);
 }
 
 TEST_CASE("a consumer gone mid-answer: the call runs once and its redelivery gets the one answer") {
-  Triggers t(1);
+  AmqpFixture fixture(1);
   bool running = false;
-  t.world.host[0]->react = [&](const std::string&) {
+  fixture.world.host[0]->react = [&](const std::string&) {
     running = true;
-    t.broker.drop_connections();  // the connection breaks while the host works
+    fixture.broker.drop_connections();  // the connection breaks while the host works
     return Reaction();
   };
-  t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  REQUIRE(t.settled());
+  fixture.broker.send("a", "bin-record", "x");
+  REQUIRE(fixture.run_until_answered("a"));
+  REQUIRE(fixture.run_until_settled());
   CHECK(running);
-  CHECK(t.world.host[0]->runs["x"] == 1);
-  CHECK(t.broker.answers_to("a").size() == 1);
-  CHECK(status_of(t.broker.answers_to("a")[0]) == "OK");
+  CHECK(fixture.world.host[0]->runs["x"] == 1);
+  CHECK(fixture.broker.answers_to("a").size() == 1);
+  CHECK(status_of(fixture.broker.answers_to("a")[0]) == "OK");
 }
 
 /// The call of the broker's last answer, delivered again.
@@ -186,98 +189,100 @@
 }
 
 TEST_CASE("an answer already confirmed is not sent twice when only the ack was lost") {
-  Triggers t(1);
-  t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  REQUIRE(t.settled());
-  t.broker.enqueue(redelivery_of_last_call(t.broker));
-  REQUIRE(t.world.turn_until([&] { return t.broker.acked == 2; }, 20000));
-  CHECK(t.broker.answers.size() == 1);
-  CHECK(t.world.host[0]->execs == 1);
+  AmqpFixture fixture(1);
+  fixture.broker.send("a", "bin-record", "x");
+  REQUIRE(fixture.run_until_answered("a"));
+  REQUIRE(fixture.run_until_settled());
+  fixture.broker.enqueue(redelivery_of_last_call(fixture.broker));
+  REQUIRE(fixture.world.turn_until([&] { return fixture.broker.acked == 2; }, 20000));
+  CHECK(fixture.broker.answers.size() == 1);
+  CHECK(fixture.world.host[0]->execs == 1);
 }
 
 TEST_CASE("a redelivery with another reply address gets the cached answer") {
-  Triggers t(1);
-  t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  REQUIRE(t.settled());
-  auto redelivery = redelivery_of_last_call(t.broker);
+  AmqpFixture fixture(1);
+  fixture.broker.send("a", "bin-record", "x");
+  REQUIRE(fixture.run_until_answered("a"));
+  REQUIRE(fixture.run_until_settled());
+  auto redelivery = redelivery_of_last_call(fixture.broker);
   redelivery.properties.correlation_id = "c-b";
-  t.broker.enqueue(std::move(redelivery));
-  REQUIRE(t.answered("b"));
-  CHECK(t.broker.answers_to("b")[0].body == "x");
-  CHECK(t.world.host[0]->execs == 1);
+  fixture.broker.enqueue(std::move(redelivery));
+  REQUIRE(fixture.run_until_answered("b"));
+  CHECK(fixture.broker.answers_to("b")[0].body == "x");
+  CHECK(fixture.world.host[0]->execs == 1);
 }
 
 // Failure found in review: the answer to a call that was sent anew was kept back while the refusal before it
 // was not confirmed, and came only by a redelivery over the next connection.
 TEST_CASE("a call sent anew after a refusal gets its own answer, though the refusal is not confirmed yet") {
-  Triggers t(1);
+  AmqpFixture fixture(1);
   std::string word = "full";
-  t.world.host[0]->react = [&](const std::string&) { return Reaction{Kind::reply, word}; };
-  t.broker.withholds_confirms = true;
-  t.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{300}}});
-  REQUIRE(t.answered("a"));
-  CHECK(status_of(t.broker.answers_to("a")[0]) == "BUSY");
+  fixture.world.host[0]->react = [&](const std::string&) { return Reaction{Kind::reply, word}; };
+  fixture.broker.withholds_confirms = true;
+  fixture.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{300}}});
+  REQUIRE(fixture.run_until_answered("a"));
+  CHECK(status_of(fixture.broker.answers_to("a")[0]) == "BUSY");
   word = "data";
-  t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a", 2));
-  CHECK(t.world.counters.value(core::Counter::amqp_down) ==
+  fixture.broker.send("a", "bin-record", "x");
+  REQUIRE(fixture.run_until_answered("a", 2));
+  CHECK(fixture.world.counters.value(core::Counter::amqp_down) ==
         0);  // on this channel, not by a redelivery on the next one
-  CHECK(status_of(t.broker.answers_to("a")[1]) == "OK");
-  CHECK(t.world.host[0]->runs["x"] == 1);
+  CHECK(status_of(fixture.broker.answers_to("a")[1]) == "OK");
+  CHECK(fixture.world.host[0]->runs["x"] == 1);
 }
 
 // Failure found in review: asked to drain while its channel was being set up, the front began to consume.
 TEST_CASE("asked to drain before its channel is up, the front takes no calls") {
-  Triggers t(1);
-  t.broker.send("a", "bin-record", "x");
-  t.front->drain();
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(core::Counter::amqp_down) == 1; }, 200));
-  for (int i = 0; i < 20; ++i) t.world.turn();
-  CHECK(t.world.host[0]->execs == 0);
-  CHECK(t.broker.queue.size() == 1);
-  CHECK(t.front->done());
+  AmqpFixture fixture(1);
+  fixture.broker.send("a", "bin-record", "x");
+  fixture.front->drain();
+  REQUIRE(fixture.world.turn_until(
+      [&] { return fixture.world.counters.value(core::Counter::amqp_down) == 1; }, 200));
+  for (int i = 0; i < 20; ++i) fixture.world.turn();
+  CHECK(fixture.world.host[0]->execs == 0);
+  CHECK(fixture.broker.queue.size() == 1);
+  CHECK(fixture.front->done());
 }
 
 TEST_CASE("a broker without the queue, or one that falls silent, is reached anew") {
-  Triggers t(1);
+  AmqpFixture fixture(1);
   const bool silent = GENERATE(true, false);
   if (silent) {
-    t.broker.heartbeat_s = 1;
+    fixture.broker.heartbeat_s = 1;
   } else {
-    t.broker.missing_queues = 2;
+    fixture.broker.missing_queues = 2;
   }
   const core::Counter counter = silent ? core::Counter::amqp_quiet : core::Counter::amqp_channel_closed;
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(counter) > 0; }, 20000));
-  t.broker.heartbeat_s = 0;
+  REQUIRE(fixture.world.turn_until([&] { return fixture.world.counters.value(counter) > 0; }, 20000));
+  fixture.broker.heartbeat_s = 0;
   // Sent only once the old connection has gone at both ends: a delivery that it lost would come as
   // redelivered.
-  const std::uint64_t ups = silent ? 2 : 1;
-  const auto anew = [&] {
-    return t.world.counters.value(core::Counter::amqp_up) >= ups && t.broker.server.peers.size() == 1;
+  const std::uint64_t expected_connections = silent ? 2 : 1;
+  const auto reconnected = [&] {
+    return fixture.world.counters.value(core::Counter::amqp_up) >= expected_connections &&
+           fixture.broker.server.peers.size() == 1;
   };
-  REQUIRE(t.world.turn_until(anew, 20000));
-  t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  CHECK(status_of(t.broker.answers_to("a")[0]) == "OK");
-  CHECK(t.world.host[0]->runs["x"] == 1);
+  REQUIRE(fixture.world.turn_until(reconnected, 20000));
+  fixture.broker.send("a", "bin-record", "x");
+  REQUIRE(fixture.run_until_answered("a"));
+  CHECK(status_of(fixture.broker.answers_to("a")[0]) == "OK");
+  CHECK(fixture.world.host[0]->runs["x"] == 1);
 }
 
 TEST_CASE("the idempotency cache is bounded and evicts the least recently completed call") {
   amqp::IdempotencyCache cache(3, 1U << 20);
   for (const char* id : {"a", "b", "c", "d"}) {
-    cache.begin(id, true);
+    cache.start(id, true);
     cache.complete(id, {core::CallStatus::served, Millis(0), "x"});
   }
-  cache.begin("runs", true);
+  cache.start("runs", true);
   CHECK(cache.find("a") == nullptr);
   CHECK(cache.find("b") != nullptr);
   CHECK(cache.size() == 4);
-  CHECK(cache.running() == 1);
+  CHECK(cache.running_count() == 1);
   amqp::IdempotencyCache small(100, 4000);
   for (int i = 0; i < 20; ++i) {
-    small.begin(std::to_string(i), true);
+    small.start(std::to_string(i), true);
     small.complete(std::to_string(i), {core::CallStatus::served, Millis(0), std::string(500, 'x')});
   }
   CHECK(small.size() <= 4);
