--- a/src/amqp/broker_settings.h
+++ b/src/amqp/broker_settings.h
@@ -1,4 +1,4 @@
-// How the invoker reaches its broker and consumes from it.
+/// Settings of the connection to an AMQP 0-9-1 broker.
 #pragma once
 
 #include <chrono>
@@ -8,14 +8,14 @@
 
 namespace pathstack::amqp {
 
-/// The connection and its consumers, as the operator configures them.
+/// Address, credentials and consumer limits of one broker connection, as configured by the operator.
 struct BrokerSettings {
-  std::string address;  // numeric, with a port
+  std::string address;  // numeric IP address with a port
   std::string user = "guest", password = "guest", vhost = "/";
-  std::vector<std::string> queues;        // one consumer each
-  std::uint16_t prefetch = 32;            // deliveries that may be unacknowledged (basic.qos)
-  std::chrono::seconds heartbeat{10};     // what is asked for in connection.tune; 0: what the broker wants
-  std::size_t max_body_bytes = 16 << 10;  // longer bodies are not kept
+  std::vector<std::string> queues;        // one consumer is started on each
+  std::uint16_t prefetch = 32;            // limit on unacknowledged deliveries (basic.qos)
+  std::chrono::seconds heartbeat{10};     // proposed in connection.tune; 0 accepts the broker's interval
+  std::size_t max_body_bytes = 16 << 10;  // longer bodies are discarded and the call fails
 };
 
 }  // namespace pathstack::amqp
--- a/src/amqp/call_codec.cpp
+++ b/src/amqp/call_codec.cpp
@@ -10,27 +10,28 @@
 namespace pathstack::amqp {
 namespace {
 
-// The headers of a call.
+// Headers of a call.
 constexpr const char* kClassHeader = "class";
 constexpr const char* kTenantHeader = "project";
 constexpr const char* kFunctionHeader = "lookup";    // 16 hex digits
-constexpr const char* kCostHintHeader = "effort";    // the caller's estimate of the work
-constexpr const char* kMemoryHeader = "memory_mb";   // of an instance of the function
+constexpr const char* kCostHintHeader = "effort";    // the client's estimate of the work
+constexpr const char* kMemoryHeader = "memory_mb";   // memory of one instance of the function
 constexpr const char* kConcurrencyHeader = "lanes";  // concurrency slots of an instance
 constexpr const char* kTimeoutHeader = "allow";      // milliseconds
 
-// The headers of an answer.
+// Headers of an answer.
 constexpr const char* kStatusHeader = "word";
 constexpr const char* kRetryAfterHeader = "cooldown";  // milliseconds
 
 constexpr std::uint64_t kMaxTimeoutMs = std::uint64_t{3600} * 1000;
-constexpr std::uint8_t kPersistent = 2;  // the delivery mode of a message that outlives the broker's restart
+constexpr std::uint8_t kPersistent = 2;  // delivery mode of a message that survives a broker restart
 
-/// Begins the keys of calls without a message id.
+/// First character of a key that is derived from the reply address of a message without a message id.
 constexpr char kDerivedKeyPrefix = '\n';
-constexpr char kEscapedIdPrefix = '\r';  // in front of a message id that begins with either mark
+constexpr char kEscapedIdPrefix = '\r';  // prepended to a message id that begins with either prefix
 
-/// A header as text; numbers in decimal digits. Empty if it is absent or neither.
+/// Returns a string header, or a numeric header in decimal notation. Empty if the header is absent or of
+/// another type.
 std::string header_text(const FieldTable& headers, const char* name) {
   const auto found = headers.find(name);
   if (found == headers.end()) return {};
@@ -56,14 +57,14 @@
   return "FAILED";
 }
 
-/// The optional numbers of a call. Absent headers leave their defaults.
+/// The optional numeric headers of a call. An absent header leaves its default.
 struct NumericHeaders {
   std::optional<core::Millis> timeout;
   double memory_mb = 0;
   int concurrency = 1;
 };
 
-/// Nothing if a header is present but not a number in its range.
+/// Returns nothing if a header is present but is not a number within its range.
 std::optional<NumericHeaders> read_numeric_headers(const FieldTable& headers) {
   NumericHeaders numbers;
   if (const std::string text = header_text(headers, kTimeoutHeader); !text.empty()) {
--- a/src/amqp/call_codec.h
+++ b/src/amqp/call_codec.h
@@ -1,5 +1,5 @@
-// Translation between broker messages and the core's calls and answers. The names of headers and their words
-// stand in the .cpp file alone.
+/// Translation between AMQP messages and the core's calls and answers. The header names and status values are
+/// defined in call_codec.cpp only.
 #pragma once
 
 #include <optional>
@@ -11,27 +11,27 @@
 
 namespace pathstack::amqp {
 
-/// A call as a delivery asks for it, with what its class says of running it again. The reference and the body
-/// are the caller's to fill in.
+/// A call decoded from a delivery. `call.ref` and `call.body` are left empty for the caller to set.
 struct DecodedCall {
   core::Call call;
-  bool at_most_once = false;
+  bool at_most_once = false;  // the call's class must not run twice
 };
 
-/// Where the answer to a message goes; nothing if the message cannot be answered, as it names no queue or
-/// neither a correlation id nor a message id.
+/// Returns the address for the answer to a message. The correlation id defaults to the message id. Returns
+/// nothing if the message has no reply-to queue, or neither a correlation id nor a message id.
 std::optional<ReplyAddress> reply_address(const BasicProperties& properties);
 
-/// The key of the call that a message asks for: its message id, or where it has none, the address of its
-/// answer. Expects a message that can be answered.
+/// Returns the key that identifies the requested call: the message id, or the reply address if the message
+/// has no message id. `reply_address` must return an address for the message.
 CallKey call_key(const BasicProperties& properties);
 
-/// Reads a delivery as a call that arrived at `arrived`; nothing if it is oversized, without a message id, of
-/// an unknown class, without a function, or has a number that cannot be read. Cost: the number of classes.
+/// Decodes a delivery into a call with arrival time `arrived`. Returns nothing if the delivery is oversized,
+/// has no message id, names an unknown class or no valid function, or has a malformed or out-of-range number
+/// in a header. Linear in the number of classes.
 std::optional<DecodedCall> decode_call(const Delivery& delivery, const core::Settings& settings,
                                        core::Millis arrived);
 
-/// The properties of the message that brings `answer` to `address`.
+/// Returns the properties of the message that carries `answer` to `address`.
 BasicProperties encode_answer(const core::Answer& answer, const CallKey& key, const ReplyAddress& address);
 
 }  // namespace pathstack::amqp
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -11,9 +11,9 @@
 
 constexpr net::Millis kSetupTimeout{10000};
 constexpr std::string_view kProtocolHeader("AMQP\0\0\x09\x01", 8);
-constexpr std::uint16_t kReplySuccess = 200;  // the reply code of an orderly close
-constexpr std::uint8_t kFirstBit = 1;         // the first of the flags that share an octet
-constexpr std::uint8_t kMandatory = 1;        // basic.publish: return what cannot be routed
+constexpr std::uint16_t kReplySuccess = 200;  // reply code of a normal close
+constexpr std::uint8_t kFirstBit = 1;         // consecutive bit arguments share an octet
+constexpr std::uint8_t kMandatory = 1;        // bit of basic.publish: return unroutable messages
 
 bool read_flag(ArgumentReader& arguments) { return (arguments.u8() & kFirstBit) != 0; }
 
@@ -40,9 +40,9 @@
                                  std::string_view body) {
   ArgumentWriter publish;
   publish.u16(0);            // reserved
-  publish.short_string("");  // the default exchange routes by the queue's name
+  publish.short_string("");  // the default exchange routes by queue name
   publish.short_string(queue);
-  publish.u8(kMandatory);  // an answer that nobody can get comes back and is counted
+  publish.u8(kMandatory);  // an answer whose queue does not exist is returned and counted
   write_method(Method::basic_publish, kChannel, publish);
   write(encode_frame(FrameType::header, kChannel, encode_content_header(body.size(), properties)));
   const std::size_t max_payload = setup_.tuning().max_frame_size - kFrameOverhead;
@@ -85,7 +85,7 @@
   ArgumentWriter close;
   close.u16(kReplySuccess);
   close.short_string("goodbye");
-  close.u16(0);  // class and method that failed: none
+  close.u16(0);  // failing class id and method id: none
   close.u16(0);
   write_method(Method::connection_close, kConnectionChannel, close);
 }
@@ -147,7 +147,7 @@
     case Method::basic_qos_ok:
     case Method::basic_consume_ok: return on_setup_method(method, arguments);
     case Method::basic_cancel_ok: return FrameAction::proceed;
-    // The queue is gone: a new connection finds it again, once it is there.
+    // The queue was deleted. Reconnecting consumes from it again once it has been recreated.
     case Method::basic_cancel: return fail_connection(core::Counter::amqp_consumer_cancelled);
     case Method::basic_deliver: return on_deliver(arguments);
     case Method::basic_return: return on_return();
@@ -188,7 +188,7 @@
   return FrameAction::proceed;
 }
 
-// The reply queue has gone. A confirm for the publishing follows all the same.
+// The reply queue no longer exists. The broker still sends a publisher confirm for a returned message.
 Channel::FrameAction Channel::on_return() {
   counters_.add(core::Counter::amqp_answers_returned);
   content_.begin_return();
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -1,4 +1,4 @@
-// One connection to a broker with one channel on it.
+/// A broker connection that carries a single AMQP channel.
 #pragma once
 
 #include <cstdint>
@@ -16,75 +16,78 @@
 
 namespace pathstack::amqp {
 
-/// A publishing's number on its channel, counted from 1 as publisher confirms do.
+/// The sequence number of a published message on its channel. Starts at 1, as publisher confirms count.
 enum class PublishSequence : std::uint64_t {};
 
-/// What a broker says of publishings (RabbitMQ's extension of AMQP 0-9-1: basic.ack and basic.nack to the
-/// publisher).
+/// A publisher confirm: basic.ack or basic.nack sent by the broker to the publisher, RabbitMQ's extension of
+/// AMQP 0-9-1.
 struct PublisherConfirm {
   enum class Outcome { acked, nacked };
   PublishSequence sequence{};
-  bool multiple = false;  // all up to `sequence`; all so far, if that is 0
+  bool multiple = false;  // covers all messages up to `sequence`, or all so far if `sequence` is 0
   Outcome outcome = Outcome::acked;
 };
 
-/// Reads the arguments of a confirm; nothing if they are cut short.
+/// Reads the arguments of a publisher confirm. Returns nothing if they are truncated.
 std::optional<PublisherConfirm> read_confirm(PublisherConfirm::Outcome outcome, ArgumentReader& arguments);
 
-/// Is notified of what comes from the broker, on the loop's thread.
+/// Receives the events of a channel, on the loop's thread.
 class ChannelListener {
  public:
   ChannelListener() = default;
   virtual ~ChannelListener() = default;
   ChannelListener(const ChannelListener&) = delete;
   ChannelListener& operator=(const ChannelListener&) = delete;
-  /// The consumers run and answers may be published; called again when the broker ends a pause.
+  /// The consumers are running and answers may be published. Called again when the broker resumes a paused
+  /// channel (channel.flow).
   virtual void on_channel_up() = 0;
   virtual void on_delivery(Delivery&& delivery) = 0;
   virtual void on_publisher_confirm(const PublisherConfirm& confirm) = 0;
-  /// The connection has ended or never came up. Called once, the last of all calls.
+  /// The connection has ended or could not be established. Called once, after all other events.
   virtual void on_channel_down() = 0;
 };
 
-/// A connection with one channel: set up, consumed from, published to with publisher confirms, and watched by
-/// heartbeats.
+/// A broker connection with one channel: performs the handshake, consumes, publishes with publisher confirms,
+/// and exchanges heartbeats.
 ///
-/// Owned by Front, which makes a new one for each connection; used on the loop's thread. A fault of the
-/// broker, or a set-up that takes too long, is counted under its reason and ends the connection; nothing
-/// that follows in the same bytes is looked at. Cost of each call: the bytes written or read.
+/// Owned by Front, which creates a new Channel for each connection; used on the loop's thread. A protocol
+/// error of the broker or a handshake timeout increments the counter of its reason and ends the connection;
+/// the rest of the bytes already read is ignored. Each call is linear in the bytes written or read.
 class Channel final : public net::Stream, private MethodSink {
  public:
-  /// Begins with the protocol header as soon as `socket` is connected. `broker` and `listener` must outlive
-  /// the channel.
+  /// Sends the protocol header as soon as `socket` is connected. All references must outlive the channel.
   Channel(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const BrokerSettings& broker,
           ChannelListener& listener, net::Socket socket);
   ~Channel() override;
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  /// True while deliveries may come and be acknowledged.
+  /// True while deliveries may arrive and be acknowledged.
   bool is_up() const { return is_set_up() && !ending(); }
 
-  /// True unless the channel is down or the broker has asked for a pause (channel.flow).
+  /// True while the channel is up and not paused by the broker (channel.flow).
   bool may_publish() const { return is_up() && flow_active_; }
 
-  /// Publishes to `queue` by way of the default exchange. The result is what the confirm will name.
+  /// Publishes to `queue` through the default exchange. Returns the sequence number that the publisher
+  /// confirm will carry.
   PublishSequence publish(const std::string& queue, const BasicProperties& properties, std::string_view body);
 
-  /// Acknowledges a delivery: the broker forgets it.
+  /// Acknowledges a delivery, so that the broker removes the message from its queue.
   void ack(DeliveryTag tag);
 
-  /// Rejects a delivery without requeueing: it is dropped or dead-lettered, as the queue says.
+  /// Rejects a delivery without requeue: the broker drops or dead-letters the message, depending on the
+  /// queue.
   void reject(DeliveryTag tag);
 
-  /// Asks for no further deliveries; what was delivered can still be answered.
+  /// Cancels all consumers. Messages that were already delivered can still be answered.
   void cancel_consumers();
 
-  /// Closes the connection in order: it ends once the broker has answered, or at once if it was not up.
+  /// Closes the connection gracefully with connection.close: the connection ends once the broker has replied,
+  /// or immediately if the channel was not up.
   void close();
 
  private:
-  /// Whether the frames that follow may be looked at.
+  /// Whether to process the frames that follow.
   enum class FrameAction { proceed, stop };
 
   core::Counters& counters_;
@@ -96,8 +99,8 @@
   Heartbeat heartbeat_;
   net::Loop::TimerId setup_timer_{};
   std::uint64_t published_count_ = 0;
-  bool flow_active_ = true;  // not paused by channel.flow
-  bool closing_ = false;     // connection.close was sent
+  bool flow_active_ = true;  // false while paused by channel.flow
+  bool closing_ = false;     // connection.close has been sent
 
   bool is_set_up() const { return setup_.complete() && !closing_; }
   void connected() override;
--- a/src/amqp/connection_setup.cpp
+++ b/src/amqp/connection_setup.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::amqp {
 namespace {
 
-constexpr std::uint32_t kMaxFrameSize = 128 * 1024;  // larger ones bring nothing: bodies are short
+constexpr std::uint32_t kMaxFrameSize = 128 * 1024;  // larger frames have no benefit, since bodies are short
 constexpr std::string_view kLoginMechanism = "PLAIN";
 constexpr std::string_view kLocale = "en_US";
 
@@ -17,13 +17,14 @@
   return unlimited ? kMaxFrameSize : std::min(offered, kMaxFrameSize);
 }
 
-/// The lower of the two; where one side wants none, the other's.
+/// Returns the shorter interval. 0 disables heartbeats for one side, in which case the other side's interval
+/// applies.
 std::chrono::seconds negotiate_heartbeat(std::chrono::seconds offered, std::chrono::seconds configured) {
   const bool one_disabled = offered.count() == 0 || configured.count() == 0;
   return one_disabled ? std::max(offered, configured) : std::min(offered, configured);
 }
 
-/// The response of SASL PLAIN (RFC 4616): no authorization identity, the user, the password.
+/// The SASL PLAIN response (RFC 4616): an empty authorization identity, the user and the password.
 std::string plain_login(const BrokerSettings& broker) {
   const std::string separator(1, '\0');
   return separator + broker.user + separator + broker.password;
@@ -52,8 +53,8 @@
 
 ConnectionSetup::Failure ConnectionSetup::on_connection_start(ArgumentReader& arguments) {
   if (const Failure failure = advance(State::connection_start, State::connection_tune)) return failure;
-  arguments.u16();    // the version: any revision of 0-9
-  arguments.table();  // the broker's properties
+  arguments.u16();    // protocol version: any revision of 0-9 is accepted
+  arguments.table();  // server-properties
   const std::string mechanisms = arguments.long_string();
   if (mechanisms.find(kLoginMechanism) == std::string::npos) return core::Counter::amqp_no_plain_login;
   ArgumentWriter start_ok;
@@ -127,7 +128,7 @@
 }
 
 ConnectionSetup::Failure ConnectionSetup::on_basic_consume_ok() {
-  if (state_ != State::basic_consume_ok) return std::nullopt;  // one too many does no harm
+  if (state_ != State::basic_consume_ok) return std::nullopt;  // a surplus consume-ok is harmless
   ++running_consumers_;
   if (running_consumers_ == broker_.queues.size()) state_ = State::complete;
   return std::nullopt;
--- a/src/amqp/connection_setup.h
+++ b/src/amqp/connection_setup.h
@@ -1,4 +1,4 @@
-// The set-up of a connection with one channel on it, from the protocol header to running consumers.
+/// The AMQP 0-9-1 connection handshake, from connection.start to running consumers on one channel.
 #pragma once
 
 #include <chrono>
@@ -13,16 +13,16 @@
 
 namespace pathstack::amqp {
 
-/// The channel number for methods of the connection itself (AMQP 0-9-1, 4.2.3).
+/// The channel number of methods that concern the whole connection (AMQP 0-9-1, 4.2.3).
 constexpr std::uint16_t kConnectionChannel = 0;
 
-/// The one channel that is opened.
+/// The number of the only channel that this client opens.
 constexpr std::uint16_t kChannel = 1;
 
-/// The smallest frame that every peer has to accept, in octets (`frame-min-size`).
+/// The frame size that every peer must accept, in octets (`frame-min-size` of the specification).
 constexpr std::uint32_t kMinFrameSize = 4096;
 
-/// Where methods are written to.
+/// Output interface for methods sent to the broker.
 class MethodSink {
  public:
   MethodSink() = default;
@@ -32,35 +32,35 @@
   virtual void write_method(Method method, std::uint16_t channel, const ArgumentWriter& arguments) = 0;
 };
 
-/// What client and broker agreed on in connection.tune.
+/// Parameters negotiated in connection.tune.
 struct ConnectionTuning {
-  std::uint32_t max_frame_size = kMinFrameSize;  // in octets, overhead included
+  std::uint32_t max_frame_size = kMinFrameSize;  // octets, with frame header and end octet
   std::chrono::seconds heartbeat{0};             // 0: no heartbeats
 };
 
-/// The client's side of the set-up: start, tune, open, channel.open, confirm.select, basic.qos, and
-/// basic.consume for each queue. The broker has to answer in this order.
+/// State machine of the client's side of the handshake: connection.start, tune and open, channel.open,
+/// confirm.select, basic.qos, then basic.consume for each queue. The broker must reply in this order.
 ///
-/// Owned by Channel, which hands it the methods of the set-up and writes what it answers. No I/O and no timer
-/// of its own. Each call is O(1), but for the last step: the number of queues.
+/// Owned by Channel, which passes in the broker's handshake methods and writes the replies. Does no I/O and
+/// has no timer. Each call is O(1), except basic.qos-ok, which is linear in the number of queues.
 class ConnectionSetup {
  public:
   /// Both references must outlive this object.
   ConnectionSetup(const BrokerSettings& broker, MethodSink& out) : broker_(broker), out_(out) {}
 
-  /// Takes one method of the set-up from the broker and writes the next one of the client. Returns why the
-  /// connection has to end, or nothing. The caller checks `arguments` for truncation.
+  /// Handles one handshake method from the broker and writes the client's next one. Returns the counter of
+  /// the reason if the connection must end, otherwise nothing. The caller checks `arguments` for truncation.
   std::optional<core::Counter> handle(Method method, ArgumentReader& arguments);
 
-  /// True once all consumers run.
+  /// True once the broker has confirmed all consumers.
   bool complete() const { return state_ == State::complete; }
 
-  /// Valid once connection.tune was handled.
+  /// Valid once connection.tune has been handled.
   const ConnectionTuning& tuning() const { return tuning_; }
 
  private:
   using Failure = std::optional<core::Counter>;
-  /// Named after what the broker has to send next.
+  /// Each state is named after the method that the broker must send next.
   enum class State {
     connection_start,
     connection_tune,
--- a/src/amqp/content_header.cpp
+++ b/src/amqp/content_header.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::uint16_t kBasicClassId = 60;
-constexpr std::uint16_t kWeight = 0;  // unused by the specification
+constexpr std::uint16_t kWeight = 0;  // reserved, always 0
 
-/// The property flags, in the order in which the properties follow them.
+/// Property flags, in the order in which the properties are encoded.
 enum PropertyFlag : std::uint16_t {
   content_type_flag = 1 << 15,
   content_encoding_flag = 1 << 14,
@@ -19,10 +19,10 @@
   reply_to_flag = 1 << 9,
   expiration_flag = 1 << 8,
   message_id_flag = 1 << 7,
-  more_flags_flag = 1  // another word of flags follows; class basic has none
+  more_flags_flag = 1  // another flags word follows; class basic uses a single one
 };
 
-/// Collects the properties that are present, and their flags.
+/// Encodes the properties that are present and collects their flags.
 class PropertyListWriter {
  public:
   void short_string(PropertyFlag flag, const std::string& value) {
@@ -83,7 +83,7 @@
 std::optional<ContentHeader> decode_content_header(std::string_view payload) {
   ArgumentReader in(payload);
   const bool is_basic = in.u16() == kBasicClassId;
-  in.u16();  // the weight
+  in.u16();  // weight
   ContentHeader header;
   header.body_size = in.u64();
   const std::uint16_t flags = in.u16();
--- a/src/amqp/field_codec.cpp
+++ b/src/amqp/field_codec.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::size_t kMaxShortString = 255;
-constexpr int kMaxNesting = 4;  // of tables and arrays: a broker must not be able to exhaust the stack
+constexpr int kMaxNesting = 4;  // of tables and arrays, so that a broker cannot exhaust the stack
 constexpr std::size_t kTimestampSize = 8;
-constexpr std::size_t kDecimalSize = 5;  // the scale and the digits
+constexpr std::size_t kDecimalSize = 5;  // one octet of scale, four of value
 
-/// Writes a value after the octet that tells its type.
+/// Writes the type octet of a field value, then the value.
 struct FieldValueWriter {
   ArgumentWriter& out;
 
--- a/src/amqp/field_codec.h
+++ b/src/amqp/field_codec.h
@@ -1,5 +1,5 @@
-// The types that AMQP methods and properties are made of (AMQP 0-9-1, 4.2.5): numbers in network byte order,
-// short and long strings, field tables.
+/// Encoding of the data types of AMQP methods and properties (AMQP 0-9-1, 4.2.5): integers in network byte
+/// order, short and long strings, field tables.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,26 @@
 
 namespace pathstack::amqp {
 
-/// A value of a field table. Nested tables, arrays and the rarer types are skipped and read as monostate.
+/// A value of a field table. Nested tables, arrays, timestamps, decimals and byte arrays are skipped and read
+/// as monostate.
 using FieldValue = std::variant<std::monostate, bool, std::int64_t, double, std::string>;
 
-/// A field table, by the names of its fields.
+/// A field table, keyed by field name.
 using FieldTable = std::map<std::string, FieldValue>;
 
-/// Appends values in their wire form; calls can be chained. Cost: the bytes written.
+/// Appends values in their wire encoding. Calls can be chained. Linear in the bytes written.
 class ArgumentWriter {
  public:
-  /// The low bits of `value`, in network byte order.
+  /// u8 to u64 write the low bits of `value` in network byte order.
   ArgumentWriter& u8(std::uint64_t value) { return number(value, 1); }
   ArgumentWriter& u16(std::uint64_t value) { return number(value, 2); }
   ArgumentWriter& u32(std::uint64_t value) { return number(value, 4); }
   ArgumentWriter& u64(std::uint64_t value) { return number(value, 8); }
-  /// A short string; cut to the 255 octets that one can have.
+  /// Truncates `text` to 255 octets, the limit of a short string.
   ArgumentWriter& short_string(std::string_view text);
-  /// A long string.
   ArgumentWriter& long_string(std::string_view text);
-  /// A field table.
   ArgumentWriter& table(const FieldTable& fields);
-  /// All that was written so far.
+  /// Everything written so far.
   const std::string& bytes() const { return bytes_; }
 
  private:
@@ -39,9 +38,9 @@
   ArgumentWriter& number(std::uint64_t value, int octets);
 };
 
-/// Reads values from their wire form; the bytes must outlive the reader. A read past the end, or of a field
-/// of unknown type, gives an empty value and makes every later read do so: check `ok` before use. Cost: the
-/// bytes read.
+/// Reads values from their wire encoding. The bytes must outlive the reader. Reading past the end or a field
+/// of unknown type returns an empty value, and so does every later read; check `ok` before using the values.
+/// Linear in the bytes read.
 class ArgumentReader {
  public:
   explicit ArgumentReader(std::string_view bytes) : remaining_(bytes) {}
@@ -53,7 +52,7 @@
   std::string short_string() { return std::string(take(u8())); }
   std::string long_string() { return std::string(take(u32())); }
   FieldTable table();
-  /// False once a value could not be read.
+  /// False once a read has failed.
   bool ok() const { return ok_; }
 
  private:
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -15,8 +15,8 @@
 constexpr Millis kMinReconnectDelay{100};
 constexpr Millis kMaxReconnectDelay{5000};
 
-/// True if a requester that sends the call again may have it run again: it was refused, or it failed and its
-/// class may run any number of times.
+/// True if a client's retry of a completed call may run: the call was refused, or it failed and its class is
+/// not at-most-once.
 bool may_run_again(const CachedCall& completed) {
   switch (completed.answer->status) {
     case CallStatus::refused: return true;
@@ -58,7 +58,7 @@
   replies_.publish_unsent();
 }
 
-// Deliveries that were not acknowledged come again, here or at another consumer, under other tags.
+// The broker redelivers unacknowledged messages, to this or another consumer, under new delivery tags.
 void Front::on_channel_down() {
   counters_.add(core::Counter::amqp_down);
   replies_.detach();
@@ -75,7 +75,7 @@
   draining_ = true;
   loop_.cancel(reconnect_timer_);
   if (!channel_) return;
-  // A channel that is still being set up would begin to consume.
+  // A channel that is still in its handshake would start consuming.
   const bool unused = !channel_->is_up() && running_.empty() && !replies_.has_unsent();
   if (unused) return channel_->close();
   channel_->cancel_consumers();
@@ -104,7 +104,7 @@
   start_call(request, std::move(delivery));
 }
 
-/// False if the call is unknown, or known and to be run again.
+/// Returns false if the call is not cached or is to be run again.
 bool Front::answer_duplicate(const Request& request) {
   CachedCall* cached = cache_.find(request.key);
   if (cached == nullptr) return false;
@@ -113,7 +113,7 @@
     cached->pending.push_back(request.reply);
     return true;
   }
-  // A redelivery is the broker's repetition; a delivery that is none is the requester's retry.
+  // A repeated delivery without the redelivered flag is a client's retry, not a redelivery by the broker.
   const bool is_retry = !request.redelivered;
   if (is_retry && may_run_again(*cached)) return false;
   counters_.add(core::Counter::amqp_remembered);
@@ -126,7 +126,7 @@
   if (!decoded) {
     return answer_without_running(request, false, CallStatus::failed, core::Counter::amqp_bad_call);
   }
-  // A call that may run once only must not run on a redelivery: another process may have run it, or this one
+  // An at-most-once call must not run on a redelivery: another process may have run it already, or this one
   // before a restart or before the call was evicted from the cache.
   if (decoded->at_most_once && request.redelivered) {
     return answer_without_running(request, true, CallStatus::failed, core::Counter::amqp_may_have_run);
@@ -140,7 +140,7 @@
 }
 
 void Front::dispatch(const Request& request, core::Call&& call, bool at_most_once) {
-  // Workers want 16 hex digits that no open call has; message ids may be anything.
+  // Workers require a reference of 16 hex digits, unique among open calls; message ids are arbitrary strings.
   call.ref = net::hex16(++last_ref_);
   cache_.start(request.key, at_most_once).pending.push_back(request.reply);
   const core::CallId id = dispatcher_.next_id();
@@ -166,7 +166,7 @@
   if (cached == nullptr) return;
   const auto pending = std::exchange(cached->pending, {});
   cache_.complete(key, std::move(answer));
-  // Without a delivery to answer, the answer is kept until the broker delivers the call again.
+  // The channel of the deliveries is gone: the answer is kept in the cache until the broker redelivers.
   if (pending.empty()) counters_.add(core::Counter::amqp_answers_kept);
   for (const auto& reply : pending) replies_.reply(key, reply, true);
 }
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -1,4 +1,5 @@
-// Calls from a message broker: deliveries are calls, and their answers are published to where they say.
+/// Front for calls from a message broker: each delivery is a call, whose answer is published to its reply-to
+/// queue.
 #pragma once
 
 #include <cstddef>
@@ -16,45 +17,49 @@
 
 namespace pathstack::amqp {
 
-/// Takes deliveries from a broker to the dispatcher and answers to the broker, and keeps a connection up.
+/// Passes deliveries from the broker to the dispatcher and publishes the answers. Reconnects when the
+/// connection ends.
 ///
-/// A broker delivers at least once. A call runs once all the same for as long as it is in the cache: a
-/// further delivery waits for the answer of the call that runs, or gets the answer that is cached. A delivery
-/// is acknowledged after its answer was confirmed; a connection that ends before that brings it again.
+/// A broker delivers each message at least once. Repeated deliveries are deduplicated while the call is in
+/// the idempotency cache: a further delivery waits for the answer of the running call or gets the cached
+/// answer. The exception is a client's retry of a call that was refused, or that failed and is not
+/// at-most-once: the call runs again. A delivery is acknowledged after the broker has confirmed its answer;
+/// if the connection ends earlier, the broker redelivers the message.
 ///
 /// Owned by Invoker; used on the loop's thread. Owns the channel, the cache and the reconnect timer.
 class Front final : public core::Front, private ChannelListener {
  public:
   struct Limits {
-    std::size_t open_calls = 256;      // further ones are refused
-    std::size_t cached_calls = 10000;  // completed ones, see IdempotencyCache
+    std::size_t open_calls = 256;      // further calls are refused
+    std::size_t cached_calls = 10000;  // completed calls, see IdempotencyCache
     std::size_t cached_bytes = 16U << 20;
   };
 
-  /// The references must outlive the front.
+  /// The references to `loop`, `pool`, `dispatcher` and `counters` must outlive the front.
   Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
         const core::Settings& settings, BrokerSettings broker, Limits limits);
   ~Front() override;
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
 
-  /// Begins to connect; from then on the front reconnects by itself, with a backoff.
+  /// Connects, and reconnects with exponential backoff from then on.
   void start() { connect(); }
 
-  /// Begins a graceful shutdown: no further deliveries and no new connection; what was taken is answered.
+  /// Begins a graceful shutdown: stops consuming and reconnecting. Calls already taken are still answered.
   void drain();
 
-  /// True if no call runs and all answers that can be given on this connection are confirmed.
+  /// True if no call is running and the broker has confirmed all answers that can be published on this
+  /// connection.
   bool done() const;
 
-  /// Closes the connection in order.
+  /// Closes the connection gracefully.
   void close();
 
-  /// The dispatcher's answer to a call; calls that are not open are ignored.
+  /// Called by the dispatcher with the answer to a call. Ignores calls that are not open.
   void answer(core::CallId call, core::Answer&& answer) override;
 
  private:
-  /// A delivery that can be answered, and the call that it asks for.
+  /// A delivery with a reply address, and the key of the call that it requests.
   struct Request {
     CallKey key;
     PendingReply reply;
--- a/src/amqp/heartbeat.cpp
+++ b/src/amqp/heartbeat.cpp
@@ -5,8 +5,8 @@
 namespace pathstack::amqp {
 namespace {
 
-constexpr double kHeartbeatsPerInterval = 2;  // one may be late without the broker ending the connection
-constexpr double kPeerTimeoutIntervals = 2;   // after which the peer counts as dead
+constexpr double kHeartbeatsPerInterval = 2;  // so that the broker tolerates one that is late
+constexpr double kPeerTimeoutIntervals = 2;   // of silence before the peer is considered dead
 
 }  // namespace
 
--- a/src/amqp/heartbeat.h
+++ b/src/amqp/heartbeat.h
@@ -1,4 +1,4 @@
-// Heartbeats of a connection (AMQP 0-9-1, 4.2.7).
+/// Connection heartbeats (AMQP 0-9-1, 4.2.7).
 #pragma once
 
 #include <chrono>
@@ -8,25 +8,27 @@
 
 namespace pathstack::amqp {
 
-/// Sends heartbeats twice in each interval, and tells when the peer sent nothing for two intervals.
+/// Sends two heartbeats per interval, and reports a peer that has sent nothing for two intervals.
 ///
-/// Owned by Channel; used on the loop's thread. Owns two timers, which end with it. Every call is O(log of
-/// the loop's timers).
+/// Owned by Channel; used on the loop's thread. Owns two timers, which the destructor cancels. Each call is
+/// O(log n) in the number of the loop's timers.
 class Heartbeat {
  public:
-  /// `send` writes a heartbeat frame; `on_peer_timeout` is called when the peer counts as dead.
+  /// `send` writes a heartbeat frame; `on_peer_timeout` is called when the peer has been silent
+  /// for two intervals.
   Heartbeat(net::Loop& loop, std::function<void()> send, std::function<void()> on_peer_timeout);
   ~Heartbeat();
   Heartbeat(const Heartbeat&) = delete;
   Heartbeat& operator=(const Heartbeat&) = delete;
 
-  /// Sends the first heartbeat and begins to watch the peer. An interval of 0 means no heartbeats at all.
+  /// Sends the first heartbeat and starts the peer timeout. An interval of 0 disables heartbeats.
   void start(std::chrono::seconds interval);
 
-  /// Called for whatever comes from the peer: any traffic stands for a heartbeat.
+  /// Restarts the peer timeout. Called for any bytes from the peer, as any traffic substitutes for a
+  /// heartbeat.
   void on_peer_activity();
 
-  /// Ends both timers.
+  /// Cancels both timers.
   void stop();
 
  private:
--- a/src/amqp/idempotency_cache.cpp
+++ b/src/amqp/idempotency_cache.cpp
@@ -5,8 +5,8 @@
 namespace pathstack::amqp {
 namespace {
 
-constexpr std::size_t kEntryOverhead = 512;  // bytes: about what an entry takes beside its texts
-constexpr std::size_t kKeyCopies = 2;        // in the map and in the list
+constexpr std::size_t kEntryOverhead = 512;  // bytes: estimated size of an entry without its strings
+constexpr std::size_t kKeyCopies = 2;        // one in the map, one in the list
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   found->second.call.answer = std::make_shared<const core::Answer>(std::move(answer));
   found->second.position = completed_.insert(completed_.end(), key);
   while (completed_.size() > 1 && over_limit()) {
-    const CallKey oldest = completed_.front();  // a copy: erasing ends the one in the list
+    const CallKey oldest = completed_.front();  // a copy, as `erase` destroys the key in the list
     erase(oldest);
   }
 }
--- a/src/amqp/idempotency_cache.h
+++ b/src/amqp/idempotency_cache.h
@@ -1,4 +1,4 @@
-// The calls that run and the answers of those that ended, by their key: what makes a redelivery harmless.
+/// Cache of running calls and completed answers by call key, which deduplicates redelivered messages.
 #pragma once
 
 #include <cstddef>
@@ -13,72 +13,73 @@
 
 namespace pathstack::amqp {
 
-/// What tells a call from others, however often it is delivered (see `call_key`).
+/// Identifies a call across repeated deliveries (see `call_key`).
 using CallKey = std::string;
 
-/// Where an answer goes, and which request it names there.
+/// The destination of an answer.
 struct ReplyAddress {
-  std::string reply_to;        // the queue
-  std::string correlation_id;  // the requester's
+  std::string reply_to;        // queue name
+  std::string correlation_id;  // identifies the request to the client
 
   bool operator==(const ReplyAddress& other) const {
     return reply_to == other.reply_to && correlation_id == other.correlation_id;
   }
 };
 
-/// A delivery that waits for the answer of its call.
+/// A delivery that is waiting for the answer to its call.
 struct PendingReply {
-  DeliveryTag tag{};  // on the present channel
+  DeliveryTag tag{};  // on the current channel
   ReplyAddress address;
 };
 
-/// What is known of a call.
+/// The cached state of a call.
 struct CachedCall {
-  bool at_most_once = false;                   // its class must not run twice
-  std::shared_ptr<const core::Answer> answer;  // none while the call runs
-  std::vector<PendingReply> pending;           // while the call runs
-  std::vector<ReplyAddress> confirmed;         // the broker has confirmed the answer to these
+  bool at_most_once = false;                   // the call's class must not run twice
+  std::shared_ptr<const core::Answer> answer;  // null while the call is running
+  std::vector<PendingReply> pending;           // deliveries to answer; empty once the call has completed
+  std::vector<ReplyAddress> confirmed;         // addresses whose answer the broker has confirmed
 
   bool running() const { return answer == nullptr; }
 };
 
 /// A cache of calls by their key.
 ///
-/// Bounded: completed calls by number and by bytes, least recently completed evicted first. Calls that run
-/// are never evicted; how many may run is the caller's limit. The call that completed last stays in any case,
-/// so that its pending replies can be answered.
+/// Completed calls are bounded by number and by bytes; the least recently completed is evicted first. Running
+/// calls are never evicted; the caller limits their number. The most recently completed call is never
+/// evicted, so that its pending replies can be sent.
 ///
-/// Owned by Front; not thread-safe. Calls cost O(1) but where noted. References and pointers to entries are
-/// valid up to the next `start` or `complete`.
+/// Owned by Front; not thread-safe. Operations are O(1) unless noted. References and pointers to entries are
+/// valid until the next `start` or `complete`.
 class IdempotencyCache {
  public:
-  /// At most `max_completed` completed calls, which take at most about `max_bytes`.
+  /// Keeps at most `max_completed` completed calls, with an estimated size of at most `max_bytes`.
   IdempotencyCache(std::size_t max_completed, std::size_t max_bytes)
       : max_completed_(max_completed), max_bytes_(max_bytes) {}
 
-  /// The call under `key`, or null if it is unknown or was evicted.
+  /// Returns the call under `key`, or null if it is unknown or was evicted.
   CachedCall* find(const CallKey& key);
 
-  /// Files a call that runs from now on, in place of whatever was known under `key`.
+  /// Inserts a running call under `key`, replacing any existing entry.
   CachedCall& start(const CallKey& key, bool at_most_once);
 
-  /// Files the answer of a running call; without effect if `key` is unknown or has its answer. Evicts as
+  /// Stores the answer of a running call. Has no effect if `key` is unknown or already completed. Evicts as
   /// needed: amortized O(1).
   void complete(const CallKey& key, core::Answer&& answer);
 
-  /// Forgets who waits for running calls: the channel with their deliveries has gone. O(entries).
+  /// Clears the pending replies of all calls, because the channel of their deliveries has ended. O(n) in the
+  /// number of entries.
   void drop_pending();
 
-  /// The number of calls, running or completed.
+  /// The number of calls, running and completed.
   std::size_t size() const { return entries_.size(); }
 
-  /// The number of calls without an answer yet.
+  /// The number of calls without an answer.
   std::size_t running_count() const { return entries_.size() - completed_.size(); }
 
  private:
   struct Entry {
     CachedCall call;
-    std::list<CallKey>::iterator position;  // in `completed_`; valid once the call has its answer
+    std::list<CallKey>::iterator position;  // in `completed_`; valid once the call has completed
   };
 
   std::size_t max_completed_;
--- a/src/amqp/method.h
+++ b/src/amqp/method.h
@@ -1,16 +1,16 @@
-// The AMQP 0-9-1 methods in use, under the specification's names.
+/// The AMQP 0-9-1 methods that this client uses, named as in the specification.
 #pragma once
 
 #include <cstdint>
 
 namespace pathstack::amqp {
 
-/// Joins a class id and a method id, as they stand at the start of a method frame (AMQP 0-9-1, 2.3.5.1).
+/// Combines a class id and a method id as encoded at the start of a method frame (AMQP 0-9-1, 2.3.5.1).
 constexpr std::uint32_t method_code(std::uint32_t class_id, std::uint32_t method_id) {
   return class_id << 16 | method_id;
 }
 
-/// A method by its code. Values that are not listed occur too: a broker may send any method.
+/// Method codes. A value read from the wire may be none of those listed, as a broker may send any method.
 enum class Method : std::uint32_t {
   connection_start = method_code(10, 10),
   connection_start_ok = method_code(10, 11),
--- a/src/amqp/reply_publisher.cpp
+++ b/src/amqp/reply_publisher.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr core::Millis kRepublishDelay{200};
-constexpr std::size_t kMaxConfirmedAddresses = 8;  // kept for one call
+constexpr std::size_t kMaxConfirmedAddresses = 8;  // per call
 
 }  // namespace
 
@@ -36,8 +36,8 @@
   publish({key, delivery.address, call.answer, {delivery.tag}});
 }
 
-// The answers are compared too: a call sent anew after a refusal has an answer of its own, also while the
-// refusal is not confirmed yet.
+// Compares the answers as well: a call that a client retries after a refusal gets an answer of its own, even
+// if the refusal has not been confirmed yet.
 ReplyPublisher::OutgoingReply* ReplyPublisher::find_in_progress(
     const CallKey& key, const ReplyAddress& address, const std::shared_ptr<const core::Answer>& answer) {
   const auto is_same = [&](const OutgoingReply& outgoing) {
@@ -82,7 +82,7 @@
   }
 }
 
-// A sequence number that is not known here gives nothing.
+// Returns nothing for an unknown sequence number.
 std::vector<ReplyPublisher::OutgoingReply> ReplyPublisher::take_settled(const PublisherConfirm& confirm) {
   const bool covers_all = confirm.multiple && confirm.sequence == PublishSequence{0};
   auto first = unconfirmed_.begin();
--- a/src/amqp/reply_publisher.h
+++ b/src/amqp/reply_publisher.h
@@ -1,4 +1,5 @@
-// Publishes answers with publisher confirms and acknowledges the deliveries that they answer.
+/// Publishes answers with publisher confirms, and acknowledges the deliveries once their answers are
+/// confirmed.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +15,12 @@
 
 namespace pathstack::amqp {
 
-/// Brings each answer to each of its addresses, and acknowledges a delivery only once the broker has
-/// confirmed the answer: a delivery acknowledged earlier could lose its answer with the broker.
+/// Publishes each answer to each of its addresses. A delivery is acknowledged only once the broker has
+/// confirmed the answer: after an earlier acknowledgement the answer could be lost in the broker.
 ///
-/// Owned by Front; used on the loop's thread. Holds at most one answer for each delivery that is not
-/// acknowledged, which the prefetch bounds. `cache` must hold a completed call for each key that is replied
-/// to, and outlive this object.
+/// Owned by Front; used on the loop's thread. Holds at most one answer per unacknowledged delivery, so the
+/// prefetch bounds their number. `cache` must hold a completed call for each key passed to `reply`, and must
+/// outlive this object.
 class ReplyPublisher {
  public:
   ReplyPublisher(net::Loop& loop, core::Counters& counters, IdempotencyCache& cache)
@@ -28,29 +29,29 @@
   ReplyPublisher(const ReplyPublisher&) = delete;
   ReplyPublisher& operator=(const ReplyPublisher&) = delete;
 
-  /// Uses `channel` from now on, which must live until `detach`.
+  /// Sets the channel to publish on. `channel` must live until `detach`.
   void attach(Channel& channel) { channel_ = &channel; }
 
-  /// The channel has gone, and with it its sequence numbers and delivery tags: what was not confirmed is
-  /// forgotten, as its deliveries come again.
+  /// Discards the channel and all unconfirmed answers: their sequence numbers and delivery tags ended with
+  /// the channel, and the broker will redeliver the messages.
   void detach();
 
-  /// Answers one delivery of a completed call. A delivery whose answer is under way to the same address
-  /// shares its confirm; a redelivery whose answer was confirmed there is only acknowledged. Cost: the number
-  /// of answers not confirmed. Needs a channel.
+  /// Answers one delivery of a completed call. If the answer is already being published to the same address,
+  /// the delivery is acknowledged by the same confirm. A redelivery whose answer was confirmed at that
+  /// address is only acknowledged. Linear in the number of unconfirmed answers. Requires a channel.
   void reply(const CallKey& key, const PendingReply& delivery, bool redelivered);
 
-  /// Acknowledges the deliveries whose answers are confirmed; answers that were refused are published again
-  /// after a pause. Needs a channel.
+  /// Acknowledges the deliveries of acked answers, and republishes nacked answers after a delay. Requires a
+  /// channel.
   void on_publisher_confirm(const PublisherConfirm& confirm);
 
-  /// Publishes what waits, as far as the channel takes it.
+  /// Publishes queued answers while the channel permits publishing.
   void publish_unsent();
 
-  /// True while answers wait to be published.
+  /// True while answers are queued for publishing.
   bool has_unsent() const { return !unsent_.empty(); }
 
-  /// True if all answers are confirmed.
+  /// True if all answers have been confirmed.
   bool idle() const { return unconfirmed_.empty() && unsent_.empty(); }
 
  private:
@@ -58,7 +59,7 @@
     CallKey key;
     ReplyAddress address;
     std::shared_ptr<const core::Answer> answer;
-    std::vector<DeliveryTag> tags;  // acknowledged once the broker has the answer
+    std::vector<DeliveryTag> tags;  // deliveries to acknowledge once the broker confirms the answer
   };
 
   net::Loop& loop_;
@@ -66,7 +67,7 @@
   IdempotencyCache& cache_;
   Channel* channel_ = nullptr;
   std::map<PublishSequence, OutgoingReply> unconfirmed_;
-  std::deque<OutgoingReply> unsent_;  // nacked by the broker, or it has asked for a pause
+  std::deque<OutgoingReply> unsent_;  // nacked, or queued while the channel is paused
   net::Loop::TimerId republish_timer_{};
 
   OutgoingReply* find_in_progress(const CallKey& key, const ReplyAddress& address,
