--- a/tests/invoker/amqp_channel_parts_test.cpp
+++ b/tests/invoker/amqp_channel_parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts of an AMQP channel, each alone: set-up of the connection and assembly of contents.
+// Unit tests of the parts of an AMQP channel: connection handshake, content assembly, publisher confirms and
+// call keys.
 #include <catch2/catch.hpp>
 #include <string>
 #include <utility>
@@ -31,7 +32,7 @@
   std::string last_arguments;
 };
 
-/// Hands the set-up one method from the broker.
+/// Passes one method from the broker to the handshake.
 Failure handle(amqp::ConnectionSetup& setup, Method method, const ArgumentWriter& arguments = {}) {
   ArgumentReader reader(arguments.bytes());
   return setup.handle(method, reader);
@@ -66,7 +67,7 @@
 
 amqp::Frame body_frame(const std::string& body) { return {FrameType::body, amqp::kChannel, body}; }
 
-TEST_CASE("the set-up of an AMQP connection is complete once every consumer runs") {
+TEST_CASE("AMQP: the connection handshake is complete once every consumer is running") {
   const amqp::BrokerSettings broker = broker_with_two_queues();
   RecordingSink sink;
   amqp::ConnectionSetup setup(broker, sink);
@@ -87,7 +88,7 @@
                                             Method::basic_consume});
 }
 
-TEST_CASE("the set-up of an AMQP connection names why it fails") {
+TEST_CASE("AMQP: a failed connection handshake reports its reason") {
   const amqp::BrokerSettings broker = broker_with_two_queues();
   RecordingSink sink;
   amqp::ConnectionSetup setup(broker, sink);
@@ -99,7 +100,7 @@
   CHECK(sink.methods.empty());
 }
 
-TEST_CASE("a delivery is complete with the last byte of its body") {
+TEST_CASE("AMQP: a delivery is complete with the last byte of its body") {
   ContentAssembler content(8);
   content.begin_delivery(DeliveryTag{7}, true);
   CHECK(content.add_frame(header_frame(5)) == std::nullopt);
@@ -116,7 +117,7 @@
   CHECK_FALSE(content.take_delivery());
 }
 
-TEST_CASE("a body over the limit is not kept, and a returned message is no delivery") {
+TEST_CASE("AMQP: a body over the limit is discarded, and a returned message is not a delivery") {
   ContentAssembler content(2);
   content.begin_delivery(DeliveryTag{1}, false);
   CHECK(content.add_frame(header_frame(3)) == std::nullopt);
@@ -131,7 +132,7 @@
   CHECK_FALSE(content.take_delivery());
 }
 
-TEST_CASE("content frames out of place end the connection, each under its reason") {
+TEST_CASE("AMQP: an unexpected content frame is reported with its reason") {
   ContentAssembler content(8);
   CHECK(content.add_frame(header_frame(1)) == Counter::amqp_stray_content);
   content.begin_delivery(DeliveryTag{1}, false);
@@ -142,22 +143,23 @@
 }
 
 }  // namespace
-// A broker's fault, or a peer that is none: content belongs to a channel, never to the connection itself.
-TEST_CASE("AMQP: content on the connection's own channel is refused") {
+// Guards against content frames on channel 0, from a faulty broker or a peer that is not a broker: content is
+// only valid on an open channel.
+TEST_CASE("AMQP: content on the connection channel is refused") {
   ContentAssembler content(8);
   content.begin_delivery(DeliveryTag{1}, false);
-  SECTION("its header") {
+  SECTION("content header") {
     CHECK(content.add_frame(on_connection_channel(header_frame(3))) == Counter::amqp_stray_content);
   }
-  SECTION("its body") {
+  SECTION("content body") {
     CHECK_FALSE(content.add_frame(header_frame(3)));
     CHECK(content.add_frame(on_connection_channel(body_frame("abc"))) == Counter::amqp_stray_content);
   }
   CHECK_FALSE(content.take_delivery());
 }
 
-// Guards against an answer that counts as confirmed though the broker's confirm broke off.
-TEST_CASE("AMQP: a confirm that is cut short is none") {
+// Guards against treating an answer as confirmed after a truncated publisher confirm.
+TEST_CASE("AMQP: a truncated publisher confirm is not accepted") {
   ArgumentWriter whole;
   whole.u64(7).u8(1);
   ArgumentReader complete(whole.bytes());
@@ -172,7 +174,8 @@
   }
 }
 
-// Guards against two calls that share an answer: a key derived from addresses begins with a line feed.
+// Guards against two calls that share an answer: the key of a call without a message id is derived from its
+// reply address and begins with a line feed, as a message id may also do.
 TEST_CASE("AMQP: a message id never equals the key of a call without one") {
   amqp::BasicProperties without_id;
   without_id.reply_to = "q";
--- a/tests/invoker/support/stand_in_broker.h
+++ b/tests/invoker/support/stand_in_broker.h
@@ -1,4 +1,4 @@
-// A stand-in for an AMQP 0-9-1 broker.
+/// A stand-in AMQP 0-9-1 broker with fault injection.
 #pragma once
 
 #include <algorithm>
@@ -20,8 +20,8 @@
 
 namespace pathstack::test {
 
-/// A broker with one queue of calls and one reply queue, `answers`. It delivers what is in the queue, takes
-/// answers and confirms them, and misbehaves by chance or as the test sets it.
+/// A broker with one call queue, `calls`, and one reply queue, `answers`. Delivers queued messages, accepts
+/// and confirms published answers, and injects faults at random or as set by the test.
 class StandInBroker {
  public:
   struct Message {
@@ -30,15 +30,15 @@
     bool redelivered = false;
   };
 
-  /// The chances of faults, in a thousand.
+  /// Fault probabilities, per mille.
   struct Faults {
-    unsigned drop = 0;       // of the connection, around a publishing
-    unsigned redeliver = 0;  // a delivery is made twice
-    unsigned reorder = 0;    // a delivery is not the next in the queue
-    unsigned nack = 0;       // a publishing is not taken
+    unsigned drop = 0;       // connection dropped before or after a published answer
+    unsigned redeliver = 0;  // message delivered twice
+    unsigned reorder = 0;    // delivery out of queue order
+    unsigned nack = 0;       // published answer nacked
   };
 
-  /// The broker's end of one connection.
+  /// The broker's side of one connection.
   class Peer final : public net::Stream {
    public:
     Peer(StandInBroker& broker, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
@@ -149,7 +149,7 @@
 
     void on_consume(amqp::ArgumentReader& arguments) {
       arguments.u16();           // reserved
-      arguments.short_string();  // the queue
+      arguments.short_string();  // queue
       const std::string consumer_tag = arguments.short_string();
       if (broker_.missing_queues > 0) {
         --broker_.missing_queues;
@@ -176,7 +176,7 @@
 
     void on_publish(amqp::ArgumentReader& arguments) {
       arguments.u16();           // reserved
-      arguments.short_string();  // the exchange
+      arguments.short_string();  // exchange
       reply_queue_ = arguments.short_string();
     }
 
@@ -200,11 +200,11 @@
   StandInBroker(net::Loop& loop, net::BufferPool& pool, std::uint64_t seed)
       : random(seed), server(loop, pool, *this) {}
 
-  /// True with that chance in a thousand.
+  /// Returns true with a probability of `per_mille` / 1000.
   bool chance(unsigned per_mille) { return below(random, 1000) < per_mille; }
 
-  /// Enqueues a call with message id `id` and correlation id "c-" + `id`; `headers` add to the usual ones or
-  /// take their place.
+  /// Enqueues a call with message id `id` and correlation id "c-" + `id`. `headers` are added to the default
+  /// headers and override those of the same name.
   void send(const std::string& id, const std::string& class_name, const std::string& body,
             amqp::FieldTable headers = {}) {
     Message message;
@@ -230,7 +230,7 @@
     for (const auto& peer : server.peers) peer->end_later();
   }
 
-  /// Delivers from the queue as far as the consumer's prefetch allows.
+  /// Delivers queued messages up to the consumer's prefetch limit.
   void deliver(Peer& peer) {
     while (peer.consuming && peer.open() && !queue.empty() && peer.unacked.size() < peer.prefetch) {
       const std::size_t pick = chance(faults.reorder) ? below(random, queue.size()) : 0;
@@ -239,13 +239,13 @@
       write_delivery(peer, message);
       peer.unacked[peer.last_delivery_tag] = message;
       if (!chance(faults.redeliver)) continue;
-      message.redelivered = true;  // the same again under a further tag, as a broker does that recovers
+      message.redelivered = true;  // redelivered under a new tag, as a broker does on recovery
       write_delivery(peer, message);
     }
   }
 
-  /// Takes an answer. The connection may be dropped before it arrives, before its confirm arrives, or before
-  /// the client's acknowledgement of the delivery arrives.
+  /// Accepts a published answer. Fault injection may drop the connection before the answer is stored, before
+  /// its confirm is sent, or before the client's acknowledgement of the delivery arrives.
   void on_message_published(Peer& peer, const std::string& reply_queue, const Message& answer) {
     if (chance(faults.drop / 2)) return drop(peer);
     const std::uint64_t sequence = ++peer.published_count;
@@ -261,19 +261,19 @@
     drop(peer);
   }
 
-  /// The answers that carry the correlation id of the call that was sent as `id`.
+  /// The answers to the call with message id `id`, found by correlation id.
   std::vector<Message>& answers_to(const std::string& id) { return answers_by_correlation_id["c-" + id]; }
 
   Random random;
   Server<Peer, StandInBroker> server;
   Faults faults;
   std::deque<Message> queue;
-  std::vector<Message> answers;  // in the order in which they arrived
+  std::vector<Message> answers;  // in order of arrival
   std::map<std::string, std::vector<Message>> answers_by_correlation_id;
-  std::string received_bytes;  // from all peers, as they came
+  std::string received_bytes;  // from all peers, in order of arrival
   std::size_t acked = 0, rejected = 0, dropped_connections = 0;
-  std::uint16_t heartbeat_s = 0;  // offered in connection.tune; this broker sends none, whatever it agreed to
-  int missing_queues = 0;         // so many basic.consume are answered by NOT_FOUND
+  std::uint16_t heartbeat_s = 0;  // offered in connection.tune; this broker never sends heartbeats
+  int missing_queues = 0;         // number of basic.consume still to be refused with NOT_FOUND
   bool withholds_confirms = false;
 
  private:
@@ -290,10 +290,10 @@
     constexpr std::size_t body_frame_size = 4000;
     ++peer.last_delivery_tag;
     amqp::ArgumentWriter deliver;
-    deliver.short_string("t");  // the consumer tag
+    deliver.short_string("t");  // consumer tag
     deliver.u64(peer.last_delivery_tag);
     deliver.u8(message.redelivered ? 1 : 0);
-    deliver.short_string("");  // the exchange
+    deliver.short_string("");  // exchange
     deliver.short_string("calls");
     peer.write_method(amqp::Method::basic_deliver, amqp::kChannel, deliver);
     const std::string header = amqp::encode_content_header(message.body.size(), message.properties);
@@ -306,7 +306,7 @@
   }
 };
 
-/// The status of an answer: OK, BUSY or FAILED.
+/// Returns the status header of an answer: OK, BUSY or FAILED.
 inline std::string status_of(const StandInBroker::Message& answer) {
   return std::get<std::string>(answer.properties.headers.at("word"));
 }
--- a/tests/invoker/triggers.h
+++ b/tests/invoker/triggers.h
@@ -1,4 +1,4 @@
-// The whole path of triggers: a stand-in broker, the AMQP front, the core and stand-in hosts.
+/// End-to-end fixture for calls from a message broker: stand-in broker, AMQP front, core and stand-in hosts.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace pathstack::test {
 
-/// Fixture: a front that consumes the queue `calls` of a stand-in broker. All parts run on one loop.
+/// An AMQP front that consumes the queue `calls` of a stand-in broker. All parts share one event loop.
 class AmqpFixture {
  public:
   explicit AmqpFixture(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
@@ -27,20 +27,22 @@
     front->start();
   }
 
-  /// Runs the loop until so many answers came to the call; false if they don't come within the limit.
+  /// Runs the loop until the call with message id `id` has `times` answers. Returns false if the turn limit
+  /// is reached first.
   bool run_until_answered(const std::string& id, std::size_t times = 1) {
     constexpr int max_turns = 20000;
     return world.turn_until([&] { return broker.answers_to(id).size() >= times; }, max_turns);
   }
 
-  /// Runs the loop until nothing is open at broker or front; false if that doesn't come within the limit.
+  /// Runs the loop until the queue is empty, all deliveries are acknowledged and the front is done. Returns
+  /// false if the turn limit is reached first.
   bool run_until_settled() {
     constexpr int max_turns = 200000;
     return world.turn_until([&] { return broker.queue.empty() && unacked() == 0 && front->done(); },
                             max_turns);
   }
 
-  /// The deliveries that are not acknowledged, over all connections.
+  /// The number of unacknowledged deliveries over all connections.
   std::size_t unacked() const {
     std::size_t sum = 0;
     for (const auto& peer : broker.server.peers) sum += peer->unacked.size();
--- a/tests/invoker/triggers_chaos.cpp
+++ b/tests/invoker/triggers_chaos.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr std::size_t kHosts = 3;
-constexpr std::size_t kMaxQueued = 8;  // at the broker
+constexpr std::size_t kMaxQueued = 8;  // messages in the broker's queue
 constexpr int kMaxSentPerTurn = 4;
 constexpr double kMillisPerCall = 10;           // in a timed run
 constexpr std::size_t kCallsBetweenDrops = 30;  // in a run that is not timed
@@ -93,7 +93,7 @@
   if (at_most_once) at_most_once_bodies_.push_back(body);
 }
 
-// A short run must not depend on chance for its drops; a long one has them at any moment.
+// An untimed run is short, so it drops connections at fixed call counts; a timed run drops them at random.
 void ChaosRun::drop_connections_if_due() {
   const bool due = timed() ? below(random_, kDropOneTurnIn) == 0 : tally_.sent >= next_drop_;
   if (!due) return;
@@ -101,7 +101,7 @@
   fixture_.broker.drop_connections();
 }
 
-// One host drains at a time, and comes back as a new incarnation when the next one goes.
+// One host drains at a time. It returns as a new incarnation when the next host starts draining.
 void ChaosRun::drain_next_host_if_due() {
   if (tally_.sent < next_drain_) return;
   next_drain_ += kCallsBetweenDrains;
--- a/tests/invoker/triggers_chaos.h
+++ b/tests/invoker/triggers_chaos.h
@@ -1,4 +1,5 @@
-// A long seeded run of triggers under faults of the broker and of the hosts.
+/// Randomized, seeded end-to-end test of calls from a broker, with faults injected at the broker and the
+/// hosts.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +15,17 @@
 
 namespace pathstack::test {
 
-/// What came of a run, as counted by the stand-ins alone.
+/// The result of a run, counted by the stand-ins and not by the code under test.
 struct ChaosTally {
   std::size_t sent = 0;
   std::size_t served = 0;
   std::size_t connections_dropped = 0;
   std::size_t hosts_drained = 0;
-  std::size_t duplicate_runs = 0;     // calls of an at-most-once class that ran more than once
+  std::size_t duplicate_runs = 0;     // at-most-once calls that ran more than once
   std::size_t lost_answers = 0;       // calls without any answer
-  std::size_t differing_answers = 0;  // answers that differ from the first one to their call
-  std::size_t sent_after_drain = 0;   // attempts at hosts that were draining for longer than the grace
-  bool settled = false;               // nothing was left open
+  std::size_t differing_answers = 0;  // answers that differ from the first answer to the same call
+  std::size_t sent_after_drain = 0;   // attempts at hosts draining for longer than the grace period
+  bool settled = false;               // no call or delivery was left open
 
   bool clean() const {
     return settled && lost_answers + differing_answers + duplicate_runs + sent_after_drain == 0;
@@ -33,14 +34,14 @@
 
 std::ostream& operator<<(std::ostream& out, const ChaosTally& tally);
 
-/// When a run ends.
+/// The end condition of a run: the number of calls or the duration, whichever is reached first.
 struct ChaosLimits {
   std::size_t calls = 0;
-  Millis duration{0};  // with about a hundred calls a second; 0: as fast as it goes, up to `calls`
+  Millis duration{0};  // paced at about 100 calls/s; 0: not paced, ends after `calls`
 };
 
-/// Calls under a broker that drops connections, redelivers and reorders, at hosts that fail in every way and
-/// drain in turns. Runs once.
+/// Sends calls through a broker that drops connections, redelivers, reorders and nacks, to hosts that inject
+/// every kind of failure and drain in turn. An object can be run once.
 class ChaosRun {
  public:
   ChaosRun(std::uint64_t seed, ChaosLimits limits);
@@ -55,8 +56,8 @@
   ChaosTally tally_;
   Millis began_{0};
   std::vector<std::string> at_most_once_bodies_;
-  std::size_t next_drop_ = 30;   // calls sent
-  std::size_t next_drain_ = 40;  // calls sent
+  std::size_t next_drop_ = 30;   // number of calls sent at the next connection drop
+  std::size_t next_drain_ = 40;  // number of calls sent at the next host drain
 
   bool timed() const { return limits_.duration.count() > 0; }
   Millis elapsed() const { return fixture_.world.loop.now() - began_; }
--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -1,4 +1,4 @@
-// The AMQP front's whole path: stand-in broker, core and module, stand-in hosts.
+// End-to-end tests of the AMQP front: stand-in broker, core, decision module and stand-in hosts.
 #include "triggers.h"
 
 #include <cstdlib>
@@ -13,7 +13,8 @@
 
 using Kind = Reaction::Kind;
 
-TEST_CASE("a delivery is served, its body unchanged, and acknowledged once the answer is confirmed") {
+TEST_CASE(
+    "AMQP: a delivery is served with its body unchanged, and acknowledged once the answer is confirmed") {
   AmqpFixture fixture(2);
   const std::string body = std::string("bin\0\r\n\xCE", 7) + std::string(9000, 'x');
   fixture.broker.send("a", "bin-record", body);
@@ -35,7 +36,7 @@
   return out.str();
 }
 
-// The greeting, then each frame with its header and end octet.
+// Returns the protocol header, then each frame with its header and end octet.
 std::vector<std::string> frames_in_hex(std::string_view bytes) {
   constexpr std::size_t protocol_header_size = 8, frame_header_size = 7;
   std::vector<std::string> out = {hex_of(bytes.substr(0, protocol_header_size))};
@@ -49,8 +50,9 @@
   return out;
 }
 
-// Brokers see the product name and the consumer tags; neither they nor anything else may change unnoticed.
-TEST_CASE("the frames of a session stand byte for byte") {
+// Guards against unnoticed changes on the wire. Brokers show the product name and the consumer tags, and
+// operators match them.
+TEST_CASE("AMQP: the frames sent in a session match the expected bytes") {
   AmqpFixture fixture(1);
   fixture.broker.send("a", "bin-check", "x");
   REQUIRE(fixture.run_until_answered("a"));
@@ -86,7 +88,7 @@
   CHECK(frames_in_hex(fixture.broker.received_bytes) == expected);
 }
 
-TEST_CASE("a nacked answer is published again and acknowledged only then") {
+TEST_CASE("AMQP: a nacked answer is published again, and its delivery is acknowledged only then") {
   AmqpFixture fixture(1);
   fixture.broker.faults.nack = 1000;
   fixture.broker.send("a", "bin-check", "x");
@@ -99,19 +101,19 @@
   CHECK(fixture.broker.answers.size() == 1);
 }
 
-TEST_CASE("what a host says is what the answer says") {
+TEST_CASE("AMQP: the answer's status follows from the host's reply") {
   AmqpFixture fixture(2);
   std::string word = "failed";
   for (auto& h : fixture.world.host) {
     h->react = [&](const std::string&) { return Reaction{word.empty() ? Kind::silence : Kind::reply, word}; };
   }
-  SECTION("an error of a bin-record may have run: failed, and not tried again") {
+  SECTION("an at-most-once call whose host replies `failed` may have run: failed, not retried") {
     fixture.broker.send("a", "bin-record", "x");
     REQUIRE(fixture.run_until_answered("a"));
     CHECK(status_of(fixture.broker.answers_to("a")[0]) == "FAILED");
     CHECK(fixture.world.host[0]->execs + fixture.world.host[1]->execs == 1);
   }
-  SECTION("hosts that are full prove that it never ran: refused") {
+  SECTION("all hosts reply `full`, so the call never ran: refused") {
     word = "full";
     fixture.broker.send("a", "bin-record", "x");
     REQUIRE(fixture.run_until_answered("a"));
@@ -119,7 +121,7 @@
     CHECK(std::get<std::int64_t>(fixture.broker.answers_to("a")[0].properties.headers.at("cooldown")) > 0);
     CHECK(fixture.world.host[0]->runs.empty());
   }
-  SECTION("a stuck host: failed at the call's own deadline") {
+  SECTION("a host that does not reply: failed at the call's own deadline") {
     word.clear();
     fixture.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{200}}});
     REQUIRE(fixture.run_until_answered("a"));
@@ -128,7 +130,7 @@
   }
 }
 
-TEST_CASE("malformed deliveries are failed where they can be answered, else rejected") {
+TEST_CASE("AMQP: a malformed delivery is answered as failed, or rejected if it has no reply address") {
   AmqpFixture fixture(1);
   fixture.broker.send("noclass", "no-such-class", "x");
   fixture.broker.send("badkey", "bin-check", "x", {{"lookup", std::string("zz")}});
@@ -145,7 +147,7 @@
   CHECK(fixture.world.host[0]->execs == 0);
 }
 
-TEST_CASE("a bin-record redelivered to a process that knows nothing of it is failed, not run") {
+TEST_CASE("AMQP: a redelivered at-most-once call that is not in the cache is failed, not run") {
   AmqpFixture fixture(1);
   StandInBroker::Message m;
   fixture.broker.send("fresh", "bin-check", "x");
@@ -162,12 +164,12 @@
   CHECK(fixture.world.host[0]->execs == 1);
 }
 
-TEST_CASE("a consumer gone mid-answer: the call runs once and its redelivery gets the one answer") {
+TEST_CASE("AMQP: after a connection loss the running call runs once and its redelivery gets the answer") {
   AmqpFixture fixture(1);
   bool running = false;
   fixture.world.host[0]->react = [&](const std::string&) {
     running = true;
-    fixture.broker.drop_connections();  // the connection breaks while the host works
+    fixture.broker.drop_connections();  // the connection is lost while the host runs the call
     return Reaction();
   };
   fixture.broker.send("a", "bin-record", "x");
@@ -179,7 +181,7 @@
   CHECK(status_of(fixture.broker.answers_to("a")[0]) == "OK");
 }
 
-/// The call of the broker's last answer, delivered again.
+/// Returns a redelivery of the call whose answer the broker received last.
 StandInBroker::Message redelivery_of_last_call(const StandInBroker& broker) {
   StandInBroker::Message message;
   message.properties = broker.answers.back().properties;
@@ -188,7 +190,7 @@
   return message;
 }
 
-TEST_CASE("an answer already confirmed is not sent twice when only the ack was lost") {
+TEST_CASE("AMQP: a confirmed answer is not published again when only the ack was lost") {
   AmqpFixture fixture(1);
   fixture.broker.send("a", "bin-record", "x");
   REQUIRE(fixture.run_until_answered("a"));
@@ -199,7 +201,7 @@
   CHECK(fixture.world.host[0]->execs == 1);
 }
 
-TEST_CASE("a redelivery with another reply address gets the cached answer") {
+TEST_CASE("AMQP: a redelivery with another reply address gets the cached answer") {
   AmqpFixture fixture(1);
   fixture.broker.send("a", "bin-record", "x");
   REQUIRE(fixture.run_until_answered("a"));
@@ -212,9 +214,9 @@
   CHECK(fixture.world.host[0]->execs == 1);
 }
 
-// Failure found in review: the answer to a call that was sent anew was kept back while the refusal before it
-// was not confirmed, and came only by a redelivery over the next connection.
-TEST_CASE("a call sent anew after a refusal gets its own answer, though the refusal is not confirmed yet") {
+// Guards against withholding the answer to a client's retry while the preceding refusal is still unconfirmed;
+// the answer was then sent only after a redelivery on the next connection.
+TEST_CASE("AMQP: a retry after a refusal gets its own answer while the refusal is still unconfirmed") {
   AmqpFixture fixture(1);
   std::string word = "full";
   fixture.world.host[0]->react = [&](const std::string&) { return Reaction{Kind::reply, word}; };
@@ -231,8 +233,8 @@
   CHECK(fixture.world.host[0]->runs["x"] == 1);
 }
 
-// Failure found in review: asked to drain while its channel was being set up, the front began to consume.
-TEST_CASE("asked to drain before its channel is up, the front takes no calls") {
+// Guards against a front that is told to drain during the handshake and starts consuming all the same.
+TEST_CASE("AMQP: a front told to drain before its channel is up takes no calls") {
   AmqpFixture fixture(1);
   fixture.broker.send("a", "bin-record", "x");
   fixture.front->drain();
@@ -244,7 +246,7 @@
   CHECK(fixture.front->done());
 }
 
-TEST_CASE("a broker without the queue, or one that falls silent, is reached anew") {
+TEST_CASE("AMQP: the front reconnects after a missing queue and after a silent broker") {
   AmqpFixture fixture(1);
   const bool silent = GENERATE(true, false);
   if (silent) {
@@ -255,8 +257,8 @@
   const core::Counter counter = silent ? core::Counter::amqp_quiet : core::Counter::amqp_channel_closed;
   REQUIRE(fixture.world.turn_until([&] { return fixture.world.counters.value(counter) > 0; }, 20000));
   fixture.broker.heartbeat_s = 0;
-  // Sent only once the old connection has gone at both ends: a delivery that it lost would come as
-  // redelivered.
+  // The call is sent only after the old connection has ended on both sides: a message delivered on the old
+  // connection would be redelivered, and an at-most-once call does not run on a redelivery.
   const std::uint64_t expected_connections = silent ? 2 : 1;
   const auto reconnected = [&] {
     return fixture.world.counters.value(core::Counter::amqp_up) >= expected_connections &&
@@ -269,7 +271,7 @@
   CHECK(fixture.world.host[0]->runs["x"] == 1);
 }
 
-TEST_CASE("the idempotency cache is bounded and evicts the least recently completed call") {
+TEST_CASE("AMQP: the idempotency cache is bounded and evicts the least recently completed call") {
   amqp::IdempotencyCache cache(3, 1U << 20);
   for (const char* id : {"a", "b", "c", "d"}) {
     cache.start(id, true);
@@ -289,7 +291,8 @@
   CHECK(small.find("19") != nullptr);
 }
 
-TEST_CASE("under drops, redeliveries and reorders no bin-record runs twice and no answer is lost") {
+TEST_CASE(
+    "AMQP: with drops, redeliveries and reordering no at-most-once call runs twice and no answer is lost") {
   for (const std::uint64_t seed : {3, 4}) {
     const ChaosTally tally = ChaosRun(seed, {150}).run();
     INFO(tally);
@@ -301,8 +304,9 @@
   }
 }
 
-// The long run, by name only: pathstack_tests "[soak]", for PATHSTACK_SOAK_S seconds (600 unless set).
-TEST_CASE("the same for ten minutes", "[.soak]") {
+// The long run, excluded from the default run: pathstack_tests "[soak]". Takes PATHSTACK_SOAK_S seconds
+// (default 600).
+TEST_CASE("AMQP: ten minutes of drops, redeliveries and reordering", "[.soak]") {
   const char* const setting = std::getenv("PATHSTACK_SOAK_S");
   const double seconds = setting == nullptr ? 600 : std::atof(setting);
   const ChaosTally tally = ChaosRun(5, {SIZE_MAX, Millis(seconds * 1000)}).run();
