--- a/tests/invoker/triggers_test.cpp
+++ b/tests/invoker/triggers_test.cpp
@@ -306,7 +306,7 @@
 
 // The long run, excluded from the default run: pathstack_tests "[soak]". Takes PATHSTACK_SOAK_S seconds
 // (default 600).
-TEST_CASE("AMQP: ten minutes of drops, redeliveries and reordering", "[.soak]") {
+TEST_CASE("ten minutes of AMQP calls with drops, redeliveries and reordering", "[.soak]") {
   const char* const setting = std::getenv("PATHSTACK_SOAK_S");
   const double seconds = setting == nullptr ? 600 : std::atof(setting);
   const ChaosTally tally = ChaosRun(5, {SIZE_MAX, Millis(seconds * 1000)}).run();
