--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -30,7 +30,7 @@
 
 int Placement::replica_count(const Function& function, Millis now) const {
   const double demand_per_replica = std::min(kRequestsPerReplica, function.slots / 2.0);
-  const double fleet_demand = demand(function, now) * settings_.invokers / reports_.own_share(now);
+  const double fleet_demand = demand(function, now) * settings_.invokers / reports_.relative_demand(now);
   return 1 + static_cast<int>(std::min(kMaxReplicas, fleet_demand / demand_per_replica));
 }
 
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -93,17 +93,17 @@
     Instance* instance = selector_.warm_instance(function, *next, now);
     if (instance == nullptr) return StopReason::no_instance;
     if (!lease_.is_confirmed(instance->worker, now)) {
-      lease_.ask(instance->worker, now);
+      lease_.send_probe(instance->worker, now);
       return StopReason::worker_unconfirmed;
     }
-    if (renewal_.delays(*next, requests_.queued(), now)) return StopReason::delayed;
+    if (renewal_.should_delay(*next, requests_.queued(), now)) return StopReason::delayed;
     send(*next, *instance, now);
   }
   return StopReason::queue_is_empty;
 }
 
 void Scheduler::start_load(Function& function, WorkerIndex worker, Millis now) {
-  if (!lease_.is_confirmed(worker, now)) return lease_.ask(worker, now);
+  if (!lease_.is_confirmed(worker, now)) return lease_.send_probe(worker, now);
   Instance& instance = function.instance_at(worker);
   if (instance.loading > 0) return;
   Request& next = *admission_.next_in_queue(function, now);
