--- a/tests/soak/worker_host.cpp
+++ b/tests/soak/worker_host.cpp
@@ -30,7 +30,7 @@
 
   void received(std::string_view bytes) override {
     const Millis now = host_.clock_();
-    if (!parser_.begun()) begun_at_ = now;
+    if (!parser_.has_partial_reply()) begun_at_ = now;
     std::vector<hosts::Reply> lines;
     const bool readable = parser_.take(bytes, lines);
     for (const hosts::Reply& line : lines) {
