--- a/tests/soak/invoker_slot.cpp
+++ b/tests/soak/invoker_slot.cpp
@@ -71,8 +71,9 @@
 
 void InvokerSlot::start() {
   write_config();
+  const bool runs_second = index_ % 2 == 1 && !files_.second_program.empty();
   process_ = std::make_unique<InvokerProcess>(
-      files_.program, config_path_, log_path_,
+      runs_second ? files_.second_program : files_.program, config_path_, log_path_,
       std::vector<std::string>{"LD_PRELOAD=" + files_.fault_library,
                                std::string(kFaultControlVariable) + "=" + control_.path(),
                                "ASAN_OPTIONS=verify_asan_link_order=0:detect_leaks=0"});
--- a/tests/soak/invoker_slot.h
+++ b/tests/soak/invoker_slot.h
@@ -19,9 +19,10 @@
 
 /// What a slot needs to start its program.
 struct ProgramFiles {
-  std::string program;        // path of the invoker
-  std::string fault_library;  // path of the library to preload
-  std::string folder;         // for configuration, log and control files
+  std::string program;         // path of the invoker
+  std::string second_program;  // path of the invoker that slots with an odd index run; empty: `program`
+  std::string fault_library;   // path of the library to preload
+  std::string folder;          // for configuration, log and control files
 };
 
 /// Starts the program, restarts it as the schedule says, and sends calls to it all the time. Destroyed before
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -36,6 +36,7 @@
   std::string keep_logs;
   std::string json_path;
   std::string program = PATHSTACK_INVOKER;
+  std::string second_program;
   std::string fault_library = PATHSTACK_FAULT_LIBRARY;
   bool dry_run = false;
   bool busy_machine = false;
@@ -101,7 +102,8 @@
   try {
     const WorkFolder folder(options.keep_logs, schedule.name);
     const Record record =
-        play(schedule, {options.program, options.fault_library, folder.path()}, stop_requested);
+        play(schedule, {options.program, options.second_program, options.fault_library, folder.path()},
+             stop_requested);
     return result_of(schedule, record);
   } catch (const std::exception& error) {
     SeedResult result;
@@ -245,6 +247,8 @@
   app.add_option("--keep-logs", options.keep_logs, "folder for the invokers' logs");
   app.add_option("--json", options.json_path, "file for the report");
   app.add_option("--program", options.program, "the invoker to test");
+  app.add_option("--second-program", options.second_program,
+                 "a second invoker program, run by every other process, to test two builds side by side");
   app.add_flag("--busy-machine", options.busy_machine,
                "print breaks that a busy machine could cause, without failing the schedule");
   app.add_flag("--dry-run", options.dry_run, "print the schedules and play none");
