--- a/tests/soak/call_client.cpp
+++ b/tests/soak/call_client.cpp
@@ -8,28 +8,28 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr Millis kMayCross{50};  // a call this close to the end of an idle connection is sent again
+constexpr Millis kCloseRaceWindow{50};  // a call this close to the end of an idle connection is sent again
 
 }  // namespace
 
 CallClient::CallClient(net::Loop& loop, net::BufferPool& pool, Record& record, std::function<Millis()> clock,
-                       int invoker, const std::string& address, OnCrossed on_crossed)
+                       int invoker, const std::string& address, OnRetry on_retry)
     : Stream(loop, pool, net::connect_to(address), true),
       record_(record),
       clock_(std::move(clock)),
       invoker_(invoker),
-      on_crossed_(std::move(on_crossed)) {
+      on_retry_(std::move(on_retry)) {
   closed_ = !connecting();
 }
 
-void CallClient::say(const std::vector<std::string_view>& words) {
+void CallClient::send_command(const std::vector<std::string_view>& words) {
   std::string bytes;
   resp::write_array(bytes, words);
   write(bytes);
 }
 
 std::string CallClient::message_of(const CallRequest& request, std::uint64_t tag) const {
-  const auto whole_ms = static_cast<std::uint64_t>(request.allowed.count());
+  const auto whole_ms = static_cast<std::uint64_t>(request.time_limit.count());
   std::string fields = "ref=" + request.ref + ",allow=" + std::to_string(whole_ms) +
                        ",project=tenant-a,lookup=" + net::hex16(request.function) +
                        ",spec=memory_mb:300;lanes:4";
@@ -39,54 +39,54 @@
   return message;
 }
 
-void CallClient::note_call(const CallRequest& request, std::uint64_t tag, bool again) {
+void CallClient::record_call(const CallRequest& request, std::uint64_t tag, bool is_retry) {
   Call call;
   call.ref = request.ref;
   call.invoker = invoker_;
   call.semantics = request.semantics;
   call.sent = clock_();
-  call.allowed = request.allowed;
+  call.time_limit = request.time_limit;
   record_.calls.push_back(call);
-  open_[tag] = {record_.calls.size() - 1, request, again};
+  open_[tag] = {record_.calls.size() - 1, request, is_retry};
 }
 
-void CallClient::call(const CallRequest& request, bool again) {
+void CallClient::call(const CallRequest& request, bool is_retry) {
   const std::uint64_t tag = ++last_tag_;
-  note_call(request, tag, again);
+  record_call(request, tag, is_retry);
   write(message_of(request, tag));
 }
 
-void CallClient::begin_call(const CallRequest& request) {
+void CallClient::send_first_half(const CallRequest& request) {
   const std::string message = message_of(request, ++last_tag_);
-  begun_ = request;
-  rest_ = message.substr(message.size() / 2);
+  partial_request_ = request;
+  unsent_half_ = message.substr(message.size() / 2);
   write(message.substr(0, message.size() / 2));
 }
 
-void CallClient::send_rest() {
-  if (rest_.empty() || closed_ || ending()) return;
-  note_call(begun_, last_tag_, true);
-  write(rest_);
-  rest_.clear();
+void CallClient::send_second_half() {
+  if (unsent_half_.empty() || closed_ || ending()) return;
+  record_call(partial_request_, last_tag_, true);
+  write(unsent_half_);
+  unsent_half_.clear();
 }
 
 void CallClient::cancel_oldest() {
   if (open_.empty()) return;
   const auto oldest = open_.begin();
   const std::string tag = std::to_string(oldest->first);
-  say({"CANCEL", tag});
-  record_.calls[oldest->second.place].left = clock_();
-  ended_[tag] = oldest->second.place;
+  send_command({"CANCEL", tag});
+  record_.calls[oldest->second.record_index].abandoned = clock_();
+  finished_[tag] = oldest->second.record_index;
   open_.erase(oldest);
 }
 
-void CallClient::leave() {
-  for (const auto& [tag, call] : open_) record_.calls[call.place].left = clock_();
+void CallClient::disconnect() {
+  for (const auto& [tag, call] : open_) record_.calls[call.record_index].abandoned = clock_();
   open_.clear();
   end_later();
 }
 
-void CallClient::check() { say({"CHECK", std::to_string(++last_tag_), ""}); }
+void CallClient::check() { send_command({"CHECK", std::to_string(++last_tag_), ""}); }
 
 void CallClient::connected() {
   connected_ = true;
@@ -94,25 +94,25 @@
 }
 
 void CallClient::received(std::string_view bytes) {
-  std::vector<resp::Words> answers;
-  parser_.take(bytes, answers);
-  for (const auto& words : answers) take(words);
+  std::vector<resp::Words> replies;
+  parser_.take(bytes, replies);
+  for (const auto& words : replies) handle_reply(words);
 }
 
-void CallClient::take(const resp::Words& words) {
+void CallClient::handle_reply(const resp::Words& words) {
   if (words.size() < 2) return;
   if (words[1] == "UP") up_ = true;
-  const ClientAnswer answer{clock_(), words[1], words.size() > 3 ? words[3] : std::string()};
+  const ClientReply reply{clock_(), words[1], words.size() > 3 ? words[3] : std::string()};
   const auto tag = net::parse_whole(words[0], UINT64_MAX).value_or(0);
   const auto open = open_.find(tag);
   if (open != open_.end()) {
-    record_.calls[open->second.place].answers.push_back(answer);
-    ended_[words[0]] = open->second.place;
+    record_.calls[open->second.record_index].replies.push_back(reply);
+    finished_[words[0]] = open->second.record_index;
     open_.erase(open);
     return;
   }
-  const auto ended = ended_.find(words[0]);
-  if (ended != ended_.end()) record_.calls[ended->second].answers.push_back(answer);
+  const auto ended = finished_.find(words[0]);
+  if (ended != finished_.end()) record_.calls[ended->second].replies.push_back(reply);
 }
 
 // An invoker may close a connection that has no open call; what crosses that close the client sends again,
@@ -120,17 +120,18 @@
 void CallClient::ended() {
   closed_ = true;
   const Millis now = clock_();
-  bool all_crossed = connected_;
+  bool all_in_race_window = connected_;
   for (const auto& [tag, call] : open_) {
-    all_crossed = all_crossed && !call.again && now - record_.calls[call.place].sent <= kMayCross;
+    all_in_race_window = all_in_race_window && !call.is_retry &&
+                         now - record_.calls[call.record_index].sent <= kCloseRaceWindow;
   }
   for (const auto& [tag, call] : open_) {
-    Call& recorded = record_.calls[call.place];
-    recorded.cut_off = now;
+    Call& recorded = record_.calls[call.record_index];
+    recorded.connection_lost = now;
     // Never taken, or sent again: the next record of this ref is the one that counts.
     const bool not_taken = !connected_;
-    if (not_taken || all_crossed) recorded.left = now;
-    if (all_crossed) on_crossed_(call.request);
+    if (not_taken || all_in_race_window) recorded.abandoned = now;
+    if (all_in_race_window) on_retry_(call.request);
   }
   open_.clear();
 }
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -43,10 +43,10 @@
 }
 
 void FaultProxy::forward(Side& from, std::string_view bytes) {
-  if (mode_ != Mode::pass && mode_ != Mode::cut) return;
+  if (mode_ != Mode::pass && mode_ != Mode::truncate) return;
   Link& link = from.link();
   const bool from_target = &from == link.target.get();
-  if (mode_ == Mode::cut) {
+  if (mode_ == Mode::truncate) {
     if (!from_target) return;
     link.client->write(bytes.substr(0, bytes.size() / 2));
     mode_ = Mode::silent;
@@ -61,7 +61,7 @@
 }
 
 void FaultProxy::set_mode(Mode mode) {
-  const bool was_held_back = mode_ == Mode::silent || mode_ == Mode::cut;
+  const bool was_held_back = mode_ == Mode::silent || mode_ == Mode::truncate;
   mode_ = mode;
   if (mode == Mode::refuse) listener_.close();
   if (mode != Mode::refuse) listener_.reopen();
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -16,10 +16,10 @@
 class FaultProxy {
  public:
   enum class Mode {
-    pass,    // forwards all bytes
-    refuse,  // has ended its connections, and takes no new one
-    silent,  // keeps and takes connections, forwards nothing
-    cut      // as `silent`, once it has forwarded half of the target's next bytes
+    pass,     // forwards all bytes
+    refuse,   // has ended its connections, and takes no new one
+    silent,   // keeps and takes connections, forwards nothing
+    truncate  // as `silent`, once it has forwarded half of the target's next bytes
   };
 
   FaultProxy(net::Loop& loop, net::BufferPool& pool, std::string target);
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -12,9 +12,9 @@
 FaultProxy::Mode mode_of(LogFault fault) {
   switch (fault) {
     case LogFault::refused: return FaultProxy::Mode::refuse;
-    case LogFault::cut: return FaultProxy::Mode::cut;
-    case LogFault::numbers: return FaultProxy::Mode::pass;
-    case LogFault::broken:
+    case LogFault::truncated: return FaultProxy::Mode::truncate;
+    case LogFault::sequence_only: return FaultProxy::Mode::pass;
+    case LogFault::reset:
     case LogFault::silent:
     case LogFault::moved: break;
   }
@@ -39,12 +39,12 @@
       log_(loop, pool, record, clock_, deployment.invokers,
            [this](const std::string& worker, int invoker) {
              const auto found = std::find_if(hosts_.begin(), hosts_.end(),
-                                             [&](const auto& host) { return host->has_been(worker); });
+                                             [&](const auto& host) { return host->has_had_id(worker); });
              return (*found)->address(invoker);
            }),
       log_proxies_(static_cast<std::size_t>(deployment.invokers)) {
-  log_.write_numbers_as_objects(deployment.numbers_as_objects);
-  log_.write_number_after_question(deployment.number_after_question);
+  log_.set_sequence_as_object(deployment.sequence_as_object);
+  log_.set_sequence_after_request(deployment.sequence_after_request);
   std::vector<MemberRow> rows;
   for (int i = 0; i < deployment.hosts; ++i) {
     hosts_.push_back(std::make_unique<WorkerHost>(loop, pool, record, clock_, "s-" + std::to_string(i),
@@ -78,35 +78,35 @@
 void Fleet::begin_outage(int invoker, LogFault fault, Millis length) {
   LogAccess& access = log_proxies_[static_cast<std::size_t>(invoker)];
   const Millis now = clock_();
-  if (now < access.out_until) return;
-  access.out_until = now + length;
+  if (now < access.outage_end) return;
+  access.outage_end = now + length;
   record_.outages.push_back({invoker, fault, now, now + length});
   FaultProxy* const proxy = access.current;
   proxy->set_mode(mode_of(fault));
-  if (fault == LogFault::broken) proxy->break_connections();
-  if (fault == LogFault::numbers) log_.tell_numbers_only(invoker, true);
+  if (fault == LogFault::reset) proxy->break_connections();
+  if (fault == LogFault::sequence_only) log_.set_sequence_only(invoker, true);
   after(length, [this, proxy, invoker] {
     proxy->set_mode(FaultProxy::Mode::pass);
-    log_.tell_numbers_only(invoker, false);
+    log_.set_sequence_only(invoker, false);
   });
 }
 
-void Fleet::move_log(int invoker, Millis late, bool mute) {
-  constexpr Millis kOldCloses{1500};
+void Fleet::move_log(int invoker, Millis delay, bool silent) {
+  constexpr Millis kOldAddressCloseDelay{1500};
   LogAccess& access = log_proxies_[static_cast<std::size_t>(invoker)];
   const Millis now = clock_();
-  if (now < access.out_until) return;
+  if (now < access.outage_end) return;
   FaultProxy* const old = access.current;
   access.proxies.push_back(std::make_unique<FaultProxy>(loop_, pool_, log_.address(invoker)));
   access.current = access.proxies.back().get();
   FaultProxy* const current = access.current;
-  access.out_until = now + std::max(late, kOldCloses);
-  record_.outages.push_back({invoker, LogFault::moved, now, access.out_until});
+  access.outage_end = now + std::max(delay, kOldAddressCloseDelay);
+  record_.outages.push_back({invoker, LogFault::moved, now, access.outage_end});
   old->set_mode(FaultProxy::Mode::silent);
-  after(kOldCloses, [old] { old->set_mode(FaultProxy::Mode::refuse); });
-  if (late.count() <= 0) return;
-  current->set_mode(mute ? FaultProxy::Mode::silent : FaultProxy::Mode::refuse);
-  after(late, [current] { current->set_mode(FaultProxy::Mode::pass); });
+  after(kOldAddressCloseDelay, [old] { old->set_mode(FaultProxy::Mode::refuse); });
+  if (delay.count() <= 0) return;
+  current->set_mode(silent ? FaultProxy::Mode::silent : FaultProxy::Mode::refuse);
+  after(delay, [current] { current->set_mode(FaultProxy::Mode::pass); });
 }
 
 void Fleet::apply(const LogDelayFault& fault) {
@@ -136,31 +136,33 @@
 }
 
 void Fleet::apply(const DrainFault& fault) {
-  const auto place = static_cast<std::size_t>(fault.host);
-  if (host_busy_[place]) return;
-  host_busy_[place] = true;
+  const auto index = static_cast<std::size_t>(fault.host);
+  if (host_busy_[index]) return;
+  host_busy_[index] = true;
   host(fault.host).drain();
-  after(fault.notice,
+  after(fault.event_delay,
         [this, fault] { log_.append({row_of(host(fault.host), MemberState::draining, false)}); });
-  after(fault.gone_after, [this, fault] {
+  after(fault.stop_after, [this, fault] {
     host(fault.host).stop();
     log_.append({row_of(host(fault.host), MemberState::gone, false)});
   });
-  if (fault.back_after.count() <= 0) return;
-  after(fault.gone_after + fault.back_after, [this, fault] { come_back(fault.host, fault.as_another); });
+  if (fault.restart_after.count() <= 0) return;
+  after(fault.stop_after + fault.restart_after,
+        [this, fault] { restart_host(fault.host, fault.with_new_id); });
 }
 
 void Fleet::apply(const CrashFault& fault) {
-  const auto place = static_cast<std::size_t>(fault.host);
-  if (host_busy_[place]) return;
-  host_busy_[place] = true;
+  const auto index = static_cast<std::size_t>(fault.host);
+  if (host_busy_[index]) return;
+  host_busy_[index] = true;
   host(fault.host).stop();
-  after(fault.notice, [this, fault] { log_.append({row_of(host(fault.host), MemberState::gone, false)}); });
-  after(fault.notice + fault.back_after, [this, fault] { come_back(fault.host, false); });
+  after(fault.event_delay,
+        [this, fault] { log_.append({row_of(host(fault.host), MemberState::gone, false)}); });
+  after(fault.event_delay + fault.restart_after, [this, fault] { restart_host(fault.host, false); });
 }
 
-void Fleet::come_back(int index, bool as_another) {
-  if (as_another) host(index).rename(host(index).id() + "b");
+void Fleet::restart_host(int index, bool with_new_id) {
+  if (with_new_id) host(index).rename(host(index).id() + "b");
   host(index).start();
   log_.append({row_of(host(index), MemberState::ready, true)});
   host_busy_[static_cast<std::size_t>(index)] = false;
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -37,15 +37,15 @@
   void apply(const CrashFault& fault);
   void apply(const HostFaultSpan& fault);
 
-  /// The log goes on at a new address for the invoker, which refuses for `late`, or is mute. The old one
+  /// The log goes on at a new address for the invoker, which refuses for `delay`, or is mute. The old one
   /// tells nothing further, takes no new connection and closes its own 1.5 s later. The caller sends SIGHUP.
-  void move_log(int invoker, Millis late, bool mute);
+  void move_log(int invoker, Millis delay, bool silent);
 
  private:
   struct LogAccess {
     std::vector<std::unique_ptr<FaultProxy>> proxies;  // of all addresses so far
     FaultProxy* current = nullptr;
-    Millis out_until{0};
+    Millis outage_end{0};
   };
 
   net::Loop& loop_;
@@ -62,7 +62,7 @@
   WorkerHost& host(int index) { return *hosts_[static_cast<std::size_t>(index)]; }
   void after(Millis delay, std::function<void()> callback);
   void begin_outage(int invoker, LogFault fault, Millis length);
-  void come_back(int index, bool as_another);
+  void restart_host(int index, bool with_new_id);
 };
 
 }  // namespace pathstack::soak
--- a/tests/soak/invoker_slot.cpp
+++ b/tests/soak/invoker_slot.cpp
@@ -13,18 +13,18 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr Millis kWatchInterval{10};
+constexpr Millis kPollInterval{10};
 constexpr Millis kSampleInterval{500};
 constexpr Millis kNewConnectionsAfterTerm{300};
 constexpr Millis kKillMargin{700};        // SIGKILL comes so long after the longest deadline
 constexpr Millis kLongestDeadline{3000};  // of which so much counts
-constexpr Millis kDownTime{300};          // between two processes
-constexpr Millis kPause{40};              // between the pieces of a call
-constexpr std::size_t kCallsAConnection = 32;
-constexpr std::size_t kMostClients = 6;
+constexpr Millis kRestartDelay{300};      // between two processes
+constexpr Millis kSplitDelay{40};         // between the pieces of a call
+constexpr std::size_t kMaxCallsPerConnection = 32;
+constexpr std::size_t kMaxClients = 6;
 
 // `fraction` is at least 0, below 1.
-Semantics draw_semantics(double fraction) {
+Semantics pick_semantics(double fraction) {
   if (fraction < 0.5) return Semantics::repeatable;
   return fraction < 0.65 ? Semantics::keyed : Semantics::once;
 }
@@ -46,7 +46,7 @@
       config_path_(files.folder + "/n" + std::to_string(index) + ".json"),
       log_path_(files.folder + "/n" + std::to_string(index) + ".log"),
       control_(files.folder + "/n" + std::to_string(index) + ".faults") {
-  watch();
+  poll_process();
   sample_resources();
 }
 
@@ -77,23 +77,25 @@
       std::vector<std::string>{"LD_PRELOAD=" + files_.fault_library,
                                std::string(kFaultControlVariable) + "=" + control_.path(),
                                "ASAN_OPTIONS=verify_asan_link_order=0:detect_leaks=0"});
-  InvokerLife life;
-  life.invoker = index_;
-  life.started = clock_();
-  record_.lives.push_back(life);
-  life_ = record_.lives.size() - 1;
+  ProcessLifetime lifetime;
+  lifetime.invoker = index_;
+  lifetime.started = clock_();
+  record_.process_lifetimes.push_back(lifetime);
+  lifetime_index_ = record_.process_lifetimes.size() - 1;
 }
 
-bool InvokerSlot::is_ready() const { return process_ != nullptr && record_.lives[life_].ready.has_value(); }
+bool InvokerSlot::is_ready() const {
+  return process_ != nullptr && record_.process_lifetimes[lifetime_index_].ready.has_value();
+}
 
-void InvokerSlot::watch() {
-  after(kWatchInterval, [this] { watch(); });
+void InvokerSlot::poll_process() {
+  after(kPollInterval, [this] { poll_process(); });
   if (process_ == nullptr) return;
   if (process_->has_ended()) return process_ended();
-  if (!life().ready) look_for_ready();
+  if (!lifetime().ready) check_readiness();
 }
 
-void InvokerSlot::look_for_address() {
+void InvokerSlot::read_listen_address() {
   std::ifstream log(log_path_);
   log.seekg(static_cast<std::streamoff>(log_read_));
   std::stringstream text;
@@ -106,18 +108,18 @@
   if (end != std::string::npos) address_ = text.str().substr(begin, end - begin);
 }
 
-void InvokerSlot::look_for_ready() {
+void InvokerSlot::check_readiness() {
   const bool knows_port = address_.substr(address_.rfind(':')) != ":0";
-  if (!knows_port) return look_for_address();
-  if (checker_ && checker_->is_up()) {
-    life().ready = clock_();
-    checker_->leave();
-    checker_.reset();
+  if (!knows_port) return read_listen_address();
+  if (readiness_client_ && readiness_client_->is_up()) {
+    lifetime().ready = clock_();
+    readiness_client_->disconnect();
+    readiness_client_.reset();
     return;
   }
-  if (checker_ && !checker_->closed()) return;
-  checker_ = connect();
-  checker_->check();
+  if (readiness_client_ && !readiness_client_->closed()) return;
+  readiness_client_ = connect();
+  readiness_client_->check();
 }
 
 void InvokerSlot::sample_resources() {
@@ -127,49 +129,49 @@
 }
 
 void InvokerSlot::process_ended() {
-  life().ended = clock_();
-  life().exit_status = process_->exit_status();
+  lifetime().ended = clock_();
+  lifetime().exit_status = process_->exit_status();
   process_.reset();
-  checker_.reset();
-  after(kDownTime, [this] {
+  readiness_client_.reset();
+  after(kRestartDelay, [this] {
     if (process_ == nullptr) start();
   });
 }
 
 void InvokerSlot::terminate() {
-  if (process_ == nullptr || life().terminated) return;
-  life().terminated = clock_();
+  if (process_ == nullptr || lifetime().terminated) return;
+  lifetime().terminated = clock_();
   process_->send_signal(SIGTERM);
-  const Millis longest = std::max(deployment_.allowed_repeatable, deployment_.allowed_once);
-  const std::size_t terminated_life = life_;
-  after(std::min(longest, kLongestDeadline) + kKillMargin, [this, terminated_life] {
-    if (process_ != nullptr && life_ == terminated_life) kill_now();
+  const Millis longest = std::max(deployment_.repeatable_time_limit, deployment_.once_time_limit);
+  const std::size_t terminated_index = lifetime_index_;
+  after(std::min(longest, kLongestDeadline) + kKillMargin, [this, terminated_index] {
+    if (process_ != nullptr && lifetime_index_ == terminated_index) kill_now();
   });
 }
 
 void InvokerSlot::kill_now() {
   if (process_ == nullptr || process_->has_ended()) return;
-  life().killed = clock_();
+  lifetime().killed = clock_();
   process_->send_signal(SIGKILL);
 }
 
 void InvokerSlot::apply(const SignalFault& fault) {
-  using What = SignalFault::What;
+  using Kind = SignalFault::Kind;
   // The page sends SIGHUP never before an invoker is ready, nor within its first second.
-  const bool settled = is_ready() && clock_() > life().started + Millis(1000);
-  if (!settled || life().terminated) return;
-  if (fault.what == What::kill) return kill_now();
-  if (fault.what == What::move) {
-    fleet_.move_log(index_, fault.new_log_late, fault.new_log_mute);
+  const bool settled = is_ready() && clock_() > lifetime().started + Millis(1000);
+  if (!settled || lifetime().terminated) return;
+  if (fault.kind == Kind::kill) return kill_now();
+  if (fault.kind == Kind::move) {
+    fleet_.move_log(index_, fault.new_log_delay, fault.new_log_silent);
     write_config();
   }
-  if (fault.what == What::reload) write_config();
-  const bool sends_hup = fault.what != What::counters && fault.what != What::restart;
+  if (fault.kind == Kind::reload) write_config();
+  const bool sends_hup = fault.kind != Kind::counters && fault.kind != Kind::restart;
   for (int i = 0; i < fault.times; ++i) {
-    if (fault.what == What::counters) process_->send_signal(SIGUSR1);
+    if (fault.kind == Kind::counters) process_->send_signal(SIGUSR1);
     if (sends_hup) process_->send_signal(SIGHUP);
   }
-  if (fault.what != What::restart && fault.what != What::restart_reload) return;
+  if (fault.kind != Kind::restart && fault.kind != Kind::restart_reload) return;
   terminate();
   for (int i = 1; i < fault.times; ++i) process_->send_signal(SIGTERM);
 }
@@ -186,7 +188,7 @@
 // New connections go to a process that runs, and for a while to one that is ending.
 bool InvokerSlot::may_connect() {
   if (!is_ready()) return false;
-  return !life().terminated || clock_() < *life().terminated + kNewConnectionsAfterTerm;
+  return !lifetime().terminated || clock_() < *lifetime().terminated + kNewConnectionsAfterTerm;
 }
 
 // Connections that have closed are kept to the end of the turn, as a call may come from inside one.
@@ -198,10 +200,10 @@
   }
   std::vector<CallClient*> open;
   for (const auto& client : clients_) {
-    if (!client->ending() && client->open_calls() < kCallsAConnection) open.push_back(client.get());
+    if (!client->ending() && client->open_calls() < kMaxCallsPerConnection) open.push_back(client.get());
   }
   const bool wants_another = open.empty() || fraction() < 0.05;
-  if (wants_another && clients_.size() < kMostClients && may_connect()) {
+  if (wants_another && clients_.size() < kMaxClients && may_connect()) {
     clients_.push_back(connect());
     return clients_.back().get();
   }
@@ -213,18 +215,18 @@
   request.ref = net::hex16((static_cast<std::uint64_t>(index_ + 1) << 48) + ++calls_);
   const double skewed = std::pow(fraction(), 2);
   request.function = 1 + static_cast<std::uint64_t>(skewed * deployment_.functions);
-  request.semantics = draw_semantics(fraction());
+  request.semantics = pick_semantics(fraction());
   request.class_name = class_name(request.semantics);
   const bool once = request.semantics == Semantics::once;
-  const Millis longest = once ? deployment_.allowed_once : deployment_.allowed_repeatable;
-  request.allowed = longest * (0.5 + 0.5 * fraction());
+  const Millis longest = once ? deployment_.once_time_limit : deployment_.repeatable_time_limit;
+  request.time_limit = longest * (0.5 + 0.5 * fraction());
   return request;
 }
 
-void InvokerSlot::call(bool again, const CallRequest* request) {
+void InvokerSlot::call(bool is_retry, const CallRequest* request) {
   CallClient* const client = free_client();
   if (client == nullptr) return;
-  client->call(request != nullptr ? *request : next_request(), again);
+  client->call(request != nullptr ? *request : next_request(), is_retry);
 }
 
 void InvokerSlot::begin_traffic() {
@@ -239,28 +241,29 @@
     schedule_call();
     call();
     if (fraction() < 0.01 && !clients_.empty()) clients_.front()->cancel_oldest();
-    if (fraction() < 0.002 && !clients_.empty()) clients_.front()->leave();
+    if (fraction() < 0.002 && !clients_.empty()) clients_.front()->disconnect();
   });
 }
 
 void InvokerSlot::apply(const ClientFault& fault) {
-  using What = ClientFault::What;
+  using Kind = ClientFault::Kind;
   if (!is_ready()) return;
   for (int i = 0; i < fault.count; ++i) {
-    if (fault.what == What::burst) call();
-    if (fault.what == What::cancels && !clients_.empty()) clients_.front()->cancel_oldest();
-    const bool opens =
-        fault.what == What::crowd || fault.what == What::bad_bytes || fault.what == What::pieces;
+    if (fault.kind == Kind::burst) call();
+    if (fault.kind == Kind::cancels && !clients_.empty()) clients_.front()->cancel_oldest();
+    const bool opens = fault.kind == Kind::idle_connections || fault.kind == Kind::malformed_input ||
+                       fault.kind == Kind::split_requests;
     if (!opens) continue;
-    crowd_.push_back(connect());
-    if (fault.what == What::pieces) {
-      crowd_.back()->begin_call(next_request());
-      after(kPause, [client = crowd_.back()] { client->send_rest(); });
+    fault_clients_.push_back(connect());
+    if (fault.kind == Kind::split_requests) {
+      fault_clients_.back()->send_first_half(next_request());
+      after(kSplitDelay, [client = fault_clients_.back()] { client->send_second_half(); });
     }
-    if (fault.what == What::bad_bytes) crowd_.back()->send_raw("*3\r\n$-1\r\nCALL 7 \x01\x02\r\n");
+    if (fault.kind == Kind::malformed_input)
+      fault_clients_.back()->send_raw("*3\r\n$-1\r\nCALL 7 \x01\x02\r\n");
   }
-  if (fault.what == What::leaves) {
-    for (const auto& client : clients_) client->leave();
+  if (fault.kind == Kind::disconnects) {
+    for (const auto& client : clients_) client->disconnect();
   }
 }
 
--- a/tests/soak/invoker_slot.h
+++ b/tests/soak/invoker_slot.h
@@ -64,20 +64,20 @@
   std::string address_ = "127.0.0.1:0";  // with the port of the first start from then on
   FaultControlFile control_;
   std::unique_ptr<InvokerProcess> process_;
-  std::size_t life_ = 0;  // in the record
+  std::size_t lifetime_index_ = 0;  // in the record
   std::size_t log_read_ = 0;
-  std::shared_ptr<CallClient> checker_;
+  std::shared_ptr<CallClient> readiness_client_;
   std::vector<std::shared_ptr<CallClient>> clients_;
-  std::vector<std::shared_ptr<CallClient>> crowd_;
+  std::vector<std::shared_ptr<CallClient>> fault_clients_;
   bool traffic_on_ = false;
   std::uint64_t calls_ = 0;
 
-  InvokerLife& life() { return record_.lives[life_]; }
+  ProcessLifetime& lifetime() { return record_.process_lifetimes[lifetime_index_]; }
   void after(Millis delay, std::function<void()> callback);
   void write_config();
-  void watch();
-  void look_for_address();
-  void look_for_ready();
+  void poll_process();
+  void read_listen_address();
+  void check_readiness();
   void sample_resources();
   void process_ended();
   void terminate();
@@ -85,7 +85,7 @@
   bool may_connect();
   CallClient* free_client();
   std::shared_ptr<CallClient> connect();
-  void call(bool again = false, const CallRequest* request = nullptr);
+  void call(bool is_retry = false, const CallRequest* request = nullptr);
   CallRequest next_request();
   void schedule_call();
   double fraction() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
--- a/tests/soak/judge/attempt_rule.h
+++ b/tests/soak/judge/attempt_rule.h
@@ -9,6 +9,6 @@
 /// At most `send_cap` attempts, never two at once, none after one that may have run where the class may run
 /// once only, none over 0.1 s after the client left, and each states no more time than the client has left
 /// (0.15 s of tolerance). Cost: n log n in the requests.
-BrokenRules check_attempts(const Record& record);
+Violations check_attempts(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/broken_rule.h
+++ b/tests/soak/judge/broken_rule.h
@@ -8,12 +8,12 @@
 
 namespace pathstack::soak {
 
-struct BrokenRule {
+struct Violation {
   std::string rule;
   Millis at{0};
-  std::string what;
-  bool depends_on_pace = false;  // a machine that is too busy could cause it as well
+  std::string message;
+  bool depends_on_machine_speed = false;  // a machine that is too busy could cause it as well
 };
-using BrokenRules = std::vector<BrokenRule>;
+using Violations = std::vector<Violation>;
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/drain_rule.cpp
+++ b/tests/soak/judge/drain_rule.cpp
@@ -5,15 +5,15 @@
 namespace pathstack::soak {
 namespace {
 
-Millis clock_of(LogFault fault) {
+Millis notice_delay(LogFault fault) {
   constexpr Millis kAfterBreak{2000}, kAfterStop{4000};
-  const bool broke = fault == LogFault::refused || fault == LogFault::broken;
+  const bool broke = fault == LogFault::refused || fault == LogFault::reset;
   return broke ? kAfterBreak : kAfterStop;
 }
 
 // When the outage began for the events that it kept back.
-Millis beginning_of(const Record& record, const LogOutage& outage) {
-  if (outage.fault != LogFault::numbers) return outage.from;
+Millis outage_start(const Record& record, const LogOutage& outage) {
+  if (outage.fault != LogFault::sequence_only) return outage.from;
   Millis first = outage.to;
   for (const MembershipChange& change : record.changes) {
     if (change.at >= outage.from) first = std::min(first, change.at);
@@ -22,7 +22,7 @@
 }
 
 // How long an event of this time was on its way.
-Millis time_on_the_way(const Record& record, Millis event_at) {
+Millis delivery_delay(const Record& record, Millis event_at) {
   Millis longest{20};  // on loopback, with turns of three event loops
   for (const LogDelay& delay : record.delays) {
     if (delay.from <= event_at && event_at < delay.to) longest = std::max(longest, delay.delay);
@@ -31,49 +31,50 @@
 }
 
 // The change that says of the worker what held at `at`; null if none was told by then.
-const MembershipChange* state_in_force(const Record& record, const HostRequest& request, Millis& told) {
+const MembershipChange* last_change_before(const Record& record, const HostRequest& request,
+                                           Millis& known_at) {
   const MembershipChange* latest = nullptr;
   for (const MembershipChange& change : record.changes) {
     if (change.worker != request.worker || change.at > request.first_byte) continue;
     const bool same_stay = latest != nullptr && latest->state != MemberState::ready;
     if (same_stay && change.state != MemberState::ready) continue;  // drained before it went
     latest = &change;
-    told = counts_as_told(record, request.invoker, change.at);
+    known_at = assumed_known_at(record, request.invoker, change.at);
   }
   return latest;
 }
 
 }  // namespace
 
-Millis counts_as_told(const Record& record, int invoker, Millis event_at) {
-  Millis told = event_at;
-  const Millis arrival = event_at + time_on_the_way(record, event_at);
+Millis assumed_known_at(const Record& record, int invoker, Millis event_at) {
+  Millis known_at = event_at;
+  const Millis arrival = event_at + delivery_delay(record, event_at);
   for (const LogOutage& outage : record.outages) {
     const bool covers = outage.invoker == invoker && outage.from <= arrival && event_at < outage.to;
-    if (covers) told = std::max(event_at, beginning_of(record, outage) + clock_of(outage.fault));
+    if (covers) known_at = std::max(event_at, outage_start(record, outage) + notice_delay(outage.fault));
   }
-  for (const LogAsk& ask : record.asks) {
-    if (ask.invoker == invoker && ask.at >= event_at) told = std::min(told, ask.at);
+  for (const LogQuery& query : record.log_queries) {
+    if (query.invoker == invoker && query.at >= event_at) known_at = std::min(known_at, query.at);
   }
-  return told;
+  return known_at;
 }
 
-BrokenRules check_drains(const Record& record) {
-  BrokenRules broken;
+Violations check_drains(const Record& record) {
+  Violations violations;
   for (const HostRequest& request : record.requests) {
-    const bool only_asks = request.kind == HostRequest::Kind::load_order && request.instances == 0;
-    if (only_asks) continue;
-    Millis told{0};
-    const MembershipChange* state = state_in_force(record, request, told);
+    const bool is_query = request.kind == HostRequest::Kind::load_order && request.instances == 0;
+    if (is_query) continue;
+    Millis known_at{0};
+    const MembershipChange* state = last_change_before(record, request, known_at);
     if (state == nullptr || state->state == MemberState::ready) continue;
-    const Millis limit = told + record.rules.drain_grace + record.slack_at(request.first_byte);
+    const Millis limit = known_at + record.rules.drain_grace + record.slack_at(request.first_byte);
     if (request.first_byte <= limit) continue;
     const char* const what = request.kind == HostRequest::Kind::call ? "call" : "order to load";
-    broken.push_back({"drain", request.first_byte,
-                      std::string(what) + " of invoker " + std::to_string(request.invoker) + " at " +
-                          request.worker + ", told at " + std::to_string(told.count()) + " ms"});
+    violations.push_back({"drain", request.first_byte,
+                          std::string(what) + " of invoker " + std::to_string(request.invoker) + " at " +
+                              request.worker + ", told at " + std::to_string(known_at.count()) + " ms"});
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/drain_rule.h
+++ b/tests/soak/judge/drain_rule.h
@@ -12,10 +12,10 @@
 /// covers what was on its way when it began: 20 ms, and the delay of the log. A log that tells numbers alone
 /// stops with the first event that it keeps back, as nobody could tell before. Cost: linear in outages, asks
 /// and changes.
-Millis counts_as_told(const Record& record, int invoker, Millis event_at);
+Millis assumed_known_at(const Record& record, int invoker, Millis event_at);
 
 /// No call and no order to load begins later than the grace after a drain or removal counts as told.
 /// Cost: requests x changes.
-BrokenRules check_drains(const Record& record);
+Violations check_drains(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/judge.cpp
+++ b/tests/soak/judge/judge.cpp
@@ -13,17 +13,17 @@
 
 namespace pathstack::soak {
 
-BrokenRules judge(const Record& record) {
-  constexpr BrokenRules (*kRules[])(const Record&) = {check_drains,      check_answers,       check_attempts,
-                                                      check_load_budget, check_processes,     check_resources,
-                                                      check_service,     check_outage_service};
-  BrokenRules all;
+Violations judge(const Record& record) {
+  constexpr Violations (*kRules[])(const Record&) = {check_drains,      check_answers,       check_attempts,
+                                                     check_load_budget, check_processes,     check_resources,
+                                                     check_service,     check_outage_service};
+  Violations all;
   for (const auto rule : kRules) {
-    const BrokenRules broken = rule(record);
-    all.insert(all.end(), broken.begin(), broken.end());
+    const Violations violations = rule(record);
+    all.insert(all.end(), violations.begin(), violations.end());
   }
   std::stable_sort(all.begin(), all.end(),
-                   [](const BrokenRule& a, const BrokenRule& b) { return a.at < b.at; });
+                   [](const Violation& a, const Violation& b) { return a.at < b.at; });
   return all;
 }
 
--- a/tests/soak/judge/judge.h
+++ b/tests/soak/judge/judge.h
@@ -7,6 +7,6 @@
 namespace pathstack::soak {
 
 /// What the record breaks of the platform's rules, in order of time.
-BrokenRules judge(const Record& record);
+Violations judge(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/load_budget_rule.cpp
+++ b/tests/soak/judge/load_budget_rule.cpp
@@ -5,8 +5,8 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr double kSocketFactor = 1.15;
-constexpr double kSocketOrders = 1;
+constexpr double kToleranceFactor = 1.15;
+constexpr double kToleranceOrders = 1;
 
 bool is_load(const HostRequest& request) {
   return request.kind == HostRequest::Kind::load_order && request.instances > 0;
@@ -15,16 +15,16 @@
 // When the process that ran at `at` was started.
 Millis process_start(const Record& record, int invoker, Millis at) {
   Millis start{0};
-  for (const InvokerLife& life : record.lives) {
-    if (life.invoker == invoker && life.started <= at) start = std::max(start, life.started);
+  for (const ProcessLifetime& lifetime : record.process_lifetimes) {
+    if (lifetime.invoker == invoker && lifetime.started <= at) start = std::max(start, lifetime.started);
   }
   return start;
 }
 
 }  // namespace
 
-BrokenRules check_load_budget(const Record& record) {
-  BrokenRules broken;
+Violations check_load_budget(const Record& record) {
+  Violations violations;
   const RuleSettings& rules = record.rules;
   for (const HostRequest& order : record.requests) {
     if (!is_load(order)) continue;
@@ -41,12 +41,12 @@
                  other.complete > at - rules.load_window + slack && other.complete >= began;
         });
     const double budget = rules.load_floor + rules.load_ratio * static_cast<double>(calls);
-    if (static_cast<double>(orders) <= budget * kSocketFactor + kSocketOrders) continue;
-    broken.push_back({"load_budget", at,
-                      std::to_string(orders) + " orders of invoker " + std::to_string(order.invoker) +
-                          " for " + std::to_string(calls) + " calls"});
+    if (static_cast<double>(orders) <= budget * kToleranceFactor + kToleranceOrders) continue;
+    violations.push_back({"load_budget", at,
+                          std::to_string(orders) + " orders of invoker " + std::to_string(order.invoker) +
+                              " for " + std::to_string(calls) + " calls"});
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/load_budget_rule.h
+++ b/tests/soak/judge/load_budget_rule.h
@@ -10,6 +10,6 @@
 /// plus a ratio of the calls that it took in that time; the page on sockets adds 15 in 100 and one order. A
 /// process that was started anew has ordered and taken nothing yet.
 /// Cost: orders x (orders + calls).
-BrokenRules check_load_budget(const Record& record);
+Violations check_load_budget(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/outage_service_rule.cpp
+++ b/tests/soak/judge/outage_service_rule.cpp
@@ -21,47 +21,47 @@
           const Span span = span_of(outage);
           return outage.invoker == call.invoker && span.from <= call.sent && call.sent < span.to;
         });
-    if (!counts || call.left) continue;
+    if (!counts || call.abandoned) continue;
     ++calls;
-    served += !call.answers.empty() && call.answers[0].word == "OK" ? 1 : 0;
+    served += !call.replies.empty() && call.replies[0].status == "OK" ? 1 : 0;
   }
   if (calls == 0) return std::nullopt;
   return static_cast<double>(served) / static_cast<double>(calls);
 }
 
-void check_share(std::optional<double> share, double least, Millis at, const char* when,
-                 BrokenRules& broken) {
-  if (share.value_or(0) >= least) return;
+void check_share(std::optional<double> share, double min_share, Millis at, const char* when,
+                 Violations& violations) {
+  if (share.value_or(0) >= min_share) return;
   char what[96];
   std::snprintf(what, sizeof what, "%.3f of the calls sent %s was served, %.2f is asked for",
-                share.value_or(0), when, least);
-  broken.push_back({"outage service", at, what, true});
+                share.value_or(0), when, min_share);
+  violations.push_back({"outage service", at, what, true});
 }
 
 }  // namespace
 
 std::optional<double> share_served_in_outages(const Record& record) {
-  const Millis counted_from = record.rules.outage.counted_from;
+  const Millis counted_after = record.rules.outage.counted_after;
   return share_served(record, [&](const LogOutage& outage) {
-    return Span{outage.from + counted_from, outage.to};
+    return Span{outage.from + counted_after, outage.to};
   });
 }
 
 std::optional<double> share_served_after_outages(const Record& record) {
-  const Millis restart = record.rules.outage.restart_within;
+  const Millis restart = record.rules.outage.recovery_time;
   return share_served(record, [&](const LogOutage& outage) {
     return Span{outage.to + restart, outage.to + restart + Millis(1000)};
   });
 }
 
-BrokenRules check_outage_service(const Record& record) {
-  BrokenRules broken;
-  const double least = record.rules.outage.least_share;
-  if (least <= 0 || record.outages.empty()) return broken;
+Violations check_outage_service(const Record& record) {
+  Violations violations;
+  const double min_share = record.rules.outage.min_served_share;
+  if (min_share <= 0 || record.outages.empty()) return violations;
   const LogOutage& first = record.outages.front();
-  check_share(share_served_in_outages(record), least, first.from, "in an outage", broken);
-  check_share(share_served_after_outages(record), least, first.to, "after an outage", broken);
-  return broken;
+  check_share(share_served_in_outages(record), min_share, first.from, "in an outage", violations);
+  check_share(share_served_after_outages(record), min_share, first.to, "after an outage", violations);
+  return violations;
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/process_rule.cpp
+++ b/tests/soak/judge/process_rule.cpp
@@ -2,22 +2,25 @@
 
 namespace pathstack::soak {
 
-BrokenRules check_processes(const Record& record) {
+Violations check_processes(const Record& record) {
   constexpr Millis kReadyWithin{10000};
-  BrokenRules broken;
-  const auto report = [&](const InvokerLife& life, Millis at, const std::string& what, bool pace = false) {
-    broken.push_back({"process", at, "invoker " + std::to_string(life.invoker) + " " + what, pace});
+  Violations violations;
+  const auto report = [&](const ProcessLifetime& lifetime, Millis at, const std::string& what,
+                          bool depends_on_machine_speed = false) {
+    violations.push_back({"process", at, "invoker " + std::to_string(lifetime.invoker) + " " + what,
+                          depends_on_machine_speed});
   };
-  for (const InvokerLife& life : record.lives) {
-    const Millis due = life.started + kReadyWithin;
-    const bool was_ended = life.killed || life.terminated;
-    const bool late = life.ready ? *life.ready > due : (!was_ended && record.length > due);
-    if (late) report(life, due, "was not ready in time", true);
-    if (!life.ended || life.killed) continue;
-    if (!life.terminated) report(life, *life.ended, "ended though nobody told it to");
-    if (life.terminated && life.exit_status != 0) report(life, *life.ended, "did not end with status 0");
+  for (const ProcessLifetime& lifetime : record.process_lifetimes) {
+    const Millis due = lifetime.started + kReadyWithin;
+    const bool was_ended = lifetime.killed || lifetime.terminated;
+    const bool late = lifetime.ready ? *lifetime.ready > due : (!was_ended && record.length > due);
+    if (late) report(lifetime, due, "was not ready in time", true);
+    if (!lifetime.ended || lifetime.killed) continue;
+    if (!lifetime.terminated) report(lifetime, *lifetime.ended, "ended though nobody told it to");
+    if (lifetime.terminated && lifetime.exit_status != 0)
+      report(lifetime, *lifetime.ended, "did not end with status 0");
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/process_rule.h
+++ b/tests/soak/judge/process_rule.h
@@ -7,6 +7,6 @@
 namespace pathstack::soak {
 
 /// An invoker is ready within 10 s of its start, ends only when it was told to, and then with status 0.
-BrokenRules check_processes(const Record& record);
+Violations check_processes(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/resource_rule.h
+++ b/tests/soak/judge/resource_rule.h
@@ -7,6 +7,6 @@
 namespace pathstack::soak {
 
 /// No process goes over its limits of memory and descriptors. Cost: linear in the samples.
-BrokenRules check_resources(const Record& record);
+Violations check_resources(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/service_rule.h
+++ b/tests/soak/judge/service_rule.h
@@ -18,6 +18,6 @@
 /// Two seconds in a row with calls enough, none of them served, are a break: each schedule leaves a worker
 /// that may lawfully be used, and an invoker that runs. So is a share under what the run asks for, in all or
 /// in a second with calls enough.
-BrokenRules check_service(const Record& record);
+Violations check_service(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge_test.cpp
+++ b/tests/soak/judge_test.cpp
@@ -16,21 +16,21 @@
 namespace {
 
 // One call, served by one attempt.
-Record sound_record() {
+Record valid_record() {
   Record record;
   record.length = Millis(20000);
   Call call;
   call.ref = "a1";
   call.sent = Millis(5000);
-  call.allowed = Millis(1000);
-  call.answers.push_back({Millis(5100), "OK", "a1"});
+  call.time_limit = Millis(1000);
+  call.replies.push_back({Millis(5100), "OK", "a1"});
   record.calls.push_back(call);
   HostRequest attempt;
   attempt.worker = "s-1";
   attempt.ref = "a1";
   attempt.timeout = Millis(990);
   attempt.first_byte = attempt.complete = Millis(5010);
-  attempt.answer = "data";
+  attempt.reply_status = "data";
   attempt.ended = Millis(5090);
   record.requests.push_back(attempt);
   return record;
@@ -45,64 +45,64 @@
   return order;
 }
 
-void names_only(const BrokenRules& broken, const std::string& rule) {
-  REQUIRE_FALSE(broken.empty());
-  for (const BrokenRule& each : broken) CHECK(each.rule == rule);
+void check_only_rule(const Violations& violations, const std::string& rule) {
+  REQUIRE_FALSE(violations.empty());
+  for (const Violation& violation : violations) CHECK(violation.rule == rule);
 }
 
 }  // namespace
 
-TEST_CASE("a sound record breaks no rule") { CHECK(judge(sound_record()).empty()); }
+TEST_CASE("a sound record breaks no rule") { CHECK(judge(valid_record()).empty()); }
 
 TEST_CASE("the time at which an event counts as told follows the pages' clocks") {
   Record record;
   SECTION("at once while the log is in reach") {
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(700));
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(700));
   }
   SECTION("2 s after a break") {
-    const auto fault = GENERATE(LogFault::refused, LogFault::broken);
+    const auto fault = GENERATE(LogFault::refused, LogFault::reset);
     record.outages = {{0, fault, Millis(500), Millis(9000)}};
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(2500));
-    CHECK(counts_as_told(record, 1, Millis(700)) == Millis(700));
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(2500));
+    CHECK(assumed_known_at(record, 1, Millis(700)) == Millis(700));
   }
   SECTION("4 s after a stop or a move, but not before the event itself") {
-    const auto fault = GENERATE(LogFault::silent, LogFault::cut, LogFault::moved);
+    const auto fault = GENERATE(LogFault::silent, LogFault::truncated, LogFault::moved);
     record.outages = {{0, fault, Millis(500), Millis(9000)}};
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(4500));
-    CHECK(counts_as_told(record, 0, Millis(6000)) == Millis(6000));
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(4500));
+    CHECK(assumed_known_at(record, 0, Millis(6000)) == Millis(6000));
   }
   SECTION("4 s after the first event that a log which tells numbers alone has kept back") {
-    record.outages = {{0, LogFault::numbers, Millis(500), Millis(9000)}};
+    record.outages = {{0, LogFault::sequence_only, Millis(500), Millis(9000)}};
     record.changes = {{Millis(100), "s-1", MemberState::ready}, {Millis(2000), "s-1", MemberState::draining}};
-    CHECK(counts_as_told(record, 0, Millis(2000)) == Millis(6000));
-    CHECK(counts_as_told(record, 0, Millis(7000)) == Millis(7000));
+    CHECK(assumed_known_at(record, 0, Millis(2000)) == Millis(6000));
+    CHECK(assumed_known_at(record, 0, Millis(7000)) == Millis(7000));
   }
   SECTION("an event that was on its way when the connection broke") {
     record.outages = {{0, LogFault::refused, Millis(800), Millis(9000)}};
-    CHECK(counts_as_told(record, 0, Millis(790)) == Millis(2800));
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(700));
+    CHECK(assumed_known_at(record, 0, Millis(790)) == Millis(2800));
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(700));
     record.delays = {{Millis(600), Millis(900), Millis(150)}};
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(2800));
-    CHECK(counts_as_told(record, 0, Millis(640)) == Millis(640));
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(2800));
+    CHECK(assumed_known_at(record, 0, Millis(640)) == Millis(640));
   }
   SECTION("as soon as the invoker's next question has reached the log") {
     record.outages = {{0, LogFault::silent, Millis(500), Millis(1000)}};
-    record.asks = {{0, Millis(600)}, {0, Millis(1200)}, {1, Millis(800)}};
-    CHECK(counts_as_told(record, 0, Millis(700)) == Millis(1200));
+    record.log_queries = {{0, Millis(600)}, {0, Millis(1200)}, {1, Millis(800)}};
+    CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(1200));
   }
 }
 
 TEST_CASE("a call or a load order past the grace after a drain was told is named") {
-  Record record = sound_record();
+  Record record = valid_record();
   record.changes = {{Millis(0), "s-1", MemberState::ready}, {Millis(4600), "s-1", MemberState::draining}};
-  SECTION("a call") { names_only(judge(record), "drain"); }
+  SECTION("a call") { check_only_rule(judge(record), "drain"); }
   SECTION("removed without a drain") {
     record.changes[1].state = MemberState::gone;
-    names_only(judge(record), "drain");
+    check_only_rule(judge(record), "drain");
   }
   SECTION("the removal after a drain begins no new grace") {
     record.changes.push_back({Millis(4990), "s-1", MemberState::gone});
-    names_only(judge(record), "drain");
+    check_only_rule(judge(record), "drain");
   }
   SECTION("within the grace and the slack") {
     record.changes[1].at = Millis(4720);
@@ -118,49 +118,49 @@
     record.requests.push_back(load_order(Millis(5000), 0));
     CHECK(check_drains(record).empty());
     record.requests.push_back(load_order(Millis(5000), 1));
-    names_only(check_drains(record), "drain");
+    check_only_rule(check_drains(record), "drain");
   }
 }
 
 TEST_CASE("a call without one whole answer in its time is named") {
-  Record record = sound_record();
+  Record record = valid_record();
   Call& call = record.calls[0];
-  SECTION("none") { call.answers.clear(); }
-  SECTION("two") { call.answers.push_back(call.answers[0]); }
-  SECTION("late") { call.answers[0].at = Millis(6100); }
-  SECTION("after the client left") { call.left = Millis(5030); }
-  SECTION("with what no host made") { call.answers[0].body = "b2"; }
-  SECTION("served though no host served it") { record.requests[0].answer = "full"; }
-  names_only(check_answers(record), "answer");
+  SECTION("none") { call.replies.clear(); }
+  SECTION("two") { call.replies.push_back(call.replies[0]); }
+  SECTION("late") { call.replies[0].at = Millis(6100); }
+  SECTION("after the client left") { call.abandoned = Millis(5030); }
+  SECTION("with what no host made") { call.replies[0].body = "b2"; }
+  SECTION("served though no host served it") { record.requests[0].reply_status = "full"; }
+  check_only_rule(check_answers(record), "answer");
 }
 
 TEST_CASE("a call whose process was killed is owed no answer") {
-  Record record = sound_record();
-  record.calls[0].answers.clear();
-  InvokerLife life;
-  life.ready = Millis(10);
-  life.killed = life.ended = Millis(5050);
-  record.lives.push_back(life);
+  Record record = valid_record();
+  record.calls[0].replies.clear();
+  ProcessLifetime lifetime;
+  lifetime.ready = Millis(10);
+  lifetime.killed = lifetime.ended = Millis(5050);
+  record.process_lifetimes.push_back(lifetime);
   CHECK(judge(record).empty());
-  record.lives[0].killed = Millis(4990);
+  record.process_lifetimes[0].killed = Millis(4990);
   CHECK(judge(record).empty());  // it was sent to a process that was dead already
-  record.lives[0].ended = Millis(4995);
+  record.process_lifetimes[0].ended = Millis(4995);
   CHECK(judge(record).empty());  // and whose end was known a moment before that of the connection
-  record.lives[0].killed = record.lives[0].ended = Millis(4000);
-  names_only(check_answers(record), "answer");
+  record.process_lifetimes[0].killed = record.process_lifetimes[0].ended = Millis(4000);
+  check_only_rule(check_answers(record), "answer");
 }
 
 TEST_CASE("attempts that the rules forbid are named") {
-  Record record = sound_record();
+  Record record = valid_record();
   HostRequest second = record.requests[0];
   second.first_byte = second.complete = Millis(5200);
   second.timeout = Millis(500);
   second.ended = Millis(5250);
-  SECTION("after the client left") { record.calls[0].left = Millis(4800); }
+  SECTION("after the client left") { record.calls[0].abandoned = Millis(4800); }
   SECTION("with more time than the client has") { record.requests[0].timeout = Millis(1300); }
   SECTION("of a class that may run once, after one that may have run") {
     record.calls[0].semantics = Semantics::once;
-    record.requests[0].answer = "failed";
+    record.requests[0].reply_status = "failed";
     record.requests.push_back(second);
   }
   SECTION("two at once") {
@@ -171,73 +171,73 @@
     record.rules.send_cap = 1;
     record.requests.push_back(second);
   }
-  names_only(check_attempts(record), "attempt");
+  check_only_rule(check_attempts(record), "attempt");
 }
 
 TEST_CASE("attempts one after the other, and one that never ran, are sound") {
-  Record record = sound_record();
+  Record record = valid_record();
   record.calls[0].semantics = Semantics::once;
   HostRequest second = record.requests[0];
   second.first_byte = second.complete = Millis(5200);
   second.timeout = Millis(500);
-  record.requests[0].answer = "full";
+  record.requests[0].reply_status = "full";
   record.requests.push_back(second);
   CHECK(check_attempts(record).empty());
 }
 
 TEST_CASE("load orders over the budget are named") {
-  Record record = sound_record();
+  Record record = valid_record();
   // A floor of 3 and 0.15 of one call, 15 in 100 more and one order: four are allowed.
   for (int i = 0; i < 4; ++i) record.requests.push_back(load_order(Millis(5000 + i), 1));
   CHECK(check_load_budget(record).empty());
   record.requests.push_back(load_order(Millis(5010), 0));
   CHECK(check_load_budget(record).empty());
   record.requests.push_back(load_order(Millis(5010), 1));
-  names_only(check_load_budget(record), "load_budget");
-  InvokerLife second;
+  check_only_rule(check_load_budget(record), "load_budget");
+  ProcessLifetime second;
   second.started = Millis(5002);
-  record.lives = {InvokerLife(), second};  // three of the orders are another process's
+  record.process_lifetimes = {ProcessLifetime(), second};  // three of the orders are another process's
   CHECK(check_load_budget(record).empty());
 }
 
 TEST_CASE("processes that crash, end badly or are not ready in time are named") {
-  Record record = sound_record();
-  InvokerLife life;
-  life.ready = Millis(100);
-  SECTION("crash") { life.ended = Millis(3000); }
+  Record record = valid_record();
+  ProcessLifetime lifetime;
+  lifetime.ready = Millis(100);
+  SECTION("crash") { lifetime.ended = Millis(3000); }
   SECTION("bad status") {
-    life.terminated = Millis(2000);
-    life.ended = Millis(3000);
-    life.exit_status = 1;
+    lifetime.terminated = Millis(2000);
+    lifetime.ended = Millis(3000);
+    lifetime.exit_status = 1;
   }
-  SECTION("late") { life.ready = Millis(10500); }
-  SECTION("never ready") { life.ready.reset(); }
-  record.lives.push_back(life);
-  names_only(check_processes(record), "process");
+  SECTION("late") { lifetime.ready = Millis(10500); }
+  SECTION("never ready") { lifetime.ready.reset(); }
+  record.process_lifetimes.push_back(lifetime);
+  check_only_rule(check_processes(record), "process");
 }
 
 TEST_CASE("a process over its limits is named") {
-  Record record = sound_record();
+  Record record = valid_record();
   SECTION("memory") { record.samples.push_back({0, Millis(100), 129, 10}); }
   SECTION("descriptors") { record.samples.push_back({0, Millis(100), 10, 513}); }
-  names_only(check_resources(record), "resources");
+  check_only_rule(check_resources(record), "resources");
 }
 
 TEST_CASE("two seconds with calls of which none is served are named") {
-  Record record = sound_record();
+  Record record = valid_record();
   for (int i = 0; i < 20; ++i) {
     Call call;
     call.ref = "c" + std::to_string(i);
     call.sent = Millis(10000 + i);
-    call.allowed = Millis(500);
-    call.answers.push_back({Millis(10200), "BUSY", ""});
+    call.time_limit = Millis(500);
+    call.replies.push_back({Millis(10200), "BUSY", ""});
     record.calls.push_back(call);
   }
-  names_only(check_service(record), "service");
+  check_only_rule(check_service(record), "service");
 }
 
 TEST_CASE("what a stall of the recorder may have made late is not held against the invoker") {
-  Record record = sound_record();
+  Record record = valid_record();
   record.changes = {{Millis(0), "s-1", MemberState::ready}, {Millis(4600), "s-1", MemberState::draining}};
   record.stalls.push_back({Millis(4800), Millis(5005)});
   CHECK(check_drains(record).empty());
@@ -246,24 +246,24 @@
 TEST_CASE("calls refused while the log is out of reach, or after its return, break the rule on service") {
   Record record;
   record.length = Millis(30000);
-  record.rules.outage.least_share = 0.9;
+  record.rules.outage.min_served_share = 0.9;
   record.outages = {{0, LogFault::silent, Millis(2000), Millis(12000)}};
   const auto refused_from = GENERATE(Millis(0), Millis(7000), Millis(12000), Millis(12600), Millis(20000));
   for (Millis at(0); at < Millis(25000); at += Millis(50)) {
     Call call;
     call.sent = at;
     const bool refused = at >= refused_from && at < refused_from + Millis(500);
-    call.answers.push_back({at + Millis(50), refused ? "BUSY" : "OK", ""});
+    call.replies.push_back({at + Millis(50), refused ? "BUSY" : "OK", ""});
     record.calls.push_back(call);
   }
-  const BrokenRules broken = check_outage_service(record);
+  const Violations violations = check_outage_service(record);
   // Before the outage counts, in it (0.909 still served), within the time to restart, past it, long after.
   const bool is_break = refused_from == Millis(12600);
-  CHECK(broken.empty() == !is_break);
-  if (is_break) names_only(broken, "outage service");
+  CHECK(violations.empty() == !is_break);
+  if (is_break) check_only_rule(violations, "outage service");
   const double in_outage = refused_from == Millis(7000) ? 100.0 / 110 : 1;
   CHECK(share_served_in_outages(record).value() == Approx(in_outage));
-  record.rules.outage.least_share = 0.95;
+  record.rules.outage.min_served_share = 0.95;
   CHECK(check_outage_service(record).empty() == (!is_break && refused_from != Millis(7000)));
 }
 
@@ -276,15 +276,15 @@
     call.sent = Millis(i * 10.0);
     const bool refused =
         refused_every == 1000 ? i >= 510 && i < 522 : refused_every > 0 && i % refused_every == 0;
-    call.answers.push_back({call.sent + Millis(5), refused ? "BUSY" : "OK", ""});
+    call.replies.push_back({call.sent + Millis(5), refused ? "BUSY" : "OK", ""});
     record.calls.push_back(call);
   }
   CHECK(check_service(record).empty());  // nothing is asked
-  record.rules.least_share = 0.97;
-  record.rules.least_share_of_second = 0.9;
-  const BrokenRules broken = check_service(record);
-  CHECK(broken.size() == (refused_every == 0 ? 0U : 1U));
-  if (!broken.empty()) names_only(broken, "share of service");
+  record.rules.min_served_share = 0.97;
+  record.rules.min_served_share_per_second = 0.9;
+  const Violations violations = check_service(record);
+  CHECK(violations.size() == (refused_every == 0 ? 0U : 1U));
+  if (!violations.empty()) check_only_rule(violations, "share of service");
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -21,8 +21,8 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr int kWrongUsage = 2;
-constexpr std::size_t kMostShown = 12;  // broken rules of one seed
+constexpr int kUsageError = 2;
+constexpr std::size_t kMaxPrinted = 12;  // broken rules of one seed
 volatile bool stop_requested = false;
 
 extern "C" void request_stop(int) { stop_requested = true; }
@@ -42,13 +42,13 @@
   bool busy_machine = false;
 };
 
-struct SeedResult {
+struct ScheduleResult {
   std::string name;
   std::size_t calls = 0, served = 0;
   int worst_second = 100;  // lowest share served of a second with calls enough, in percent
   Millis longest_stall{0};
   std::optional<double> share_in_outages, share_after_outages;  // served
-  BrokenRules broken;
+  Violations violations;
   std::string error;  // the schedule could not be played
 };
 
@@ -78,14 +78,14 @@
   std::string path_;
 };
 
-SeedResult result_of(const Schedule& schedule, const Record& record) {
-  constexpr int kEnoughCalls = 10;
-  SeedResult result;
+ScheduleResult result_of(const Schedule& schedule, const Record& record) {
+  constexpr int kMinCalls = 10;
+  ScheduleResult result;
   result.name = schedule.name;
   for (const ServedWindow& window : served_by_second(record)) {
     result.calls += static_cast<std::size_t>(window.calls);
     result.served += static_cast<std::size_t>(window.served);
-    if (window.calls >= kEnoughCalls) {
+    if (window.calls >= kMinCalls) {
       result.worst_second = std::min(result.worst_second, 100 * window.served / window.calls);
     }
   }
@@ -94,11 +94,11 @@
   }
   result.share_in_outages = share_served_in_outages(record);
   result.share_after_outages = share_served_after_outages(record);
-  result.broken = judge(record);
+  result.violations = judge(record);
   return result;
 }
 
-SeedResult play_one(const Schedule& schedule, const Options& options) {
+ScheduleResult play_one(const Schedule& schedule, const Options& options) {
   try {
     const WorkFolder folder(options.keep_logs, schedule.name);
     const Record record =
@@ -106,39 +106,40 @@
              stop_requested);
     return result_of(schedule, record);
   } catch (const std::exception& error) {
-    SeedResult result;
+    ScheduleResult result;
     result.name = schedule.name;
     result.error = error.what();
     return result;
   }
 }
 
-void print(const SeedResult& result) {
+void print(const ScheduleResult& result) {
   const double share =
       result.calls == 0 ? 0 : 100.0 * static_cast<double>(result.served) / static_cast<double>(result.calls);
   std::printf(
       "%-28s calls %6zu  served %5.1f%%  worst second %3d%%  recorder's longest stall %3.0f ms  broken "
       "%zu%s%s\n",
       result.name.c_str(), result.calls, share, result.worst_second, result.longest_stall.count(),
-      result.broken.size(), result.error.empty() ? "" : "  ERROR ", result.error.c_str());
+      result.violations.size(), result.error.empty() ? "" : "  ERROR ", result.error.c_str());
   if (result.share_in_outages) {
     std::printf("    served in outages, from 4.5 s on: %.3f; in the second from 0.5 s after them on: %.3f\n",
                 *result.share_in_outages, result.share_after_outages.value_or(0));
   }
   std::map<std::string, std::size_t> by_rule;
-  for (const BrokenRule& broken : result.broken) ++by_rule[broken.rule];
+  for (const Violation& violation : result.violations) ++by_rule[violation.rule];
   for (const auto& [rule, count] : by_rule) std::printf("    rule %s: %zu\n", rule.c_str(), count);
-  for (std::size_t i = 0; i < std::min(kMostShown, result.broken.size()); ++i) {
-    const BrokenRule& broken = result.broken[i];
-    std::printf("    %9.1f ms %s: %s\n", broken.at.count(), broken.rule.c_str(), broken.what.c_str());
+  for (std::size_t i = 0; i < std::min(kMaxPrinted, result.violations.size()); ++i) {
+    const Violation& violation = result.violations[i];
+    std::printf("    %9.1f ms %s: %s\n", violation.at.count(), violation.rule.c_str(),
+                violation.message.c_str());
   }
   std::fflush(stdout);
 }
 
-nlohmann::json json_of(const SeedResult& result) {
-  nlohmann::json broken = nlohmann::json::array();
-  for (const BrokenRule& rule : result.broken) {
-    broken.push_back({{"rule", rule.rule}, {"at_ms", rule.at.count()}, {"what", rule.what}});
+nlohmann::json json_of(const ScheduleResult& result) {
+  nlohmann::json violations = nlohmann::json::array();
+  for (const Violation& rule : result.violations) {
+    violations.push_back({{"rule", rule.rule}, {"at_ms", rule.at.count()}, {"what", rule.message}});
   }
   return {{"schedule", result.name},
           {"calls", result.calls},
@@ -147,14 +148,14 @@
           {"longest_stall_ms", result.longest_stall.count()},
           {"share_in_outages", result.share_in_outages.value_or(-1)},
           {"share_after_outages", result.share_after_outages.value_or(-1)},
-          {"broken", broken},
+          {"broken", violations},
           {"error", result.error}};
 }
 
-bool has_failed(const SeedResult& result, const Options& options) {
+bool has_failed(const ScheduleResult& result, const Options& options) {
   if (!result.error.empty()) return true;
-  return std::any_of(result.broken.begin(), result.broken.end(), [&](const BrokenRule& broken) {
-    return !options.busy_machine || !broken.depends_on_pace;
+  return std::any_of(result.violations.begin(), result.violations.end(), [&](const Violation& violation) {
+    return !options.busy_machine || !violation.depends_on_machine_speed;
   });
 }
 
@@ -197,21 +198,21 @@
   if (!seeds) std::cerr << "soak: --seeds takes N or A-B, not " << options.seeds << '\n';
   if (!kinds) std::cerr << "soak: --kind takes kinds joined by +, not " << options.kinds << '\n';
   if (!seeds || !kinds) return std::nullopt;
-  DrawOptions draw;
-  draw.length = Millis(options.seconds * 1000);
-  draw.kinds = *kinds;
-  if (options.invokers > 0) draw.invokers = options.invokers;
-  if (options.hosts > 0) draw.hosts = options.hosts;
+  GeneratorOptions generator;
+  generator.length = Millis(options.seconds * 1000);
+  generator.kinds = *kinds;
+  if (options.invokers > 0) generator.invokers = options.invokers;
+  if (options.hosts > 0) generator.hosts = options.hosts;
   std::vector<Schedule> schedules;
   for (std::uint64_t seed = seeds->first; seed <= seeds->second; ++seed) {
-    schedules.push_back(draw_schedule(seed, draw));
+    schedules.push_back(generate_schedule(seed, generator));
   }
   return schedules;
 }
 
 int run(const Options& options) {
   const auto schedules = schedules_of(options);
-  if (!schedules) return kWrongUsage;
+  if (!schedules) return kUsageError;
   nlohmann::json report = nlohmann::json::array();
   std::size_t failed = 0;
   for (const Schedule& schedule : *schedules) {
@@ -220,7 +221,7 @@
       continue;
     }
     if (stop_requested) break;
-    const SeedResult result = play_one(schedule, options);
+    const ScheduleResult result = play_one(schedule, options);
     print(result);
     report.push_back(json_of(result));
     failed += has_failed(result, options) ? 1 : 0;
@@ -254,7 +255,7 @@
   app.add_flag("--dry-run", options.dry_run, "print the schedules and play none");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) { return app.exit(error) == 0 ? 0 : kWrongUsage; }
+  } catch (const CLI::ParseError& error) { return app.exit(error) == 0 ? 0 : kUsageError; }
   std::signal(SIGINT, request_stop);
   std::signal(SIGTERM, request_stop);
   std::signal(SIGPIPE, SIG_IGN);
--- a/tests/soak/membership_log.cpp
+++ b/tests/soak/membership_log.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr Millis kNumberInterval{1000};
+constexpr Millis kSequenceInterval{1000};
 
 const char* phase_of(MemberState state) {
   switch (state) {
@@ -25,20 +25,20 @@
  public:
   Peer(MembershipLog& log, int invoker, net::Socket socket)
       : Stream(log.loop_, log.pool_, std::move(socket), false), log_(log), invoker_(invoker) {}
-  bool asked() const { return asked_; }
+  bool has_subscribed() const { return has_subscribed_; }
 
  private:
   MembershipLog& log_;
   int invoker_;
   std::string line_;
-  bool asked_ = false;
+  bool has_subscribed_ = false;
 
   void received(std::string_view bytes) override {
     line_ += bytes;
     const auto end = line_.find('\n');
-    if (asked_ || end == std::string::npos) return;
-    asked_ = true;
-    log_.answer(*this, invoker_, std::stoull(line_.substr(line_.find(' ') + 1, end)));
+    if (has_subscribed_ || end == std::string::npos) return;
+    has_subscribed_ = true;
+    log_.send_events(*this, invoker_, std::stoull(line_.substr(line_.find(' ') + 1, end)));
   }
   void ended() override { log_.peer_ended(*this, invoker_); }
 };
@@ -51,37 +51,37 @@
       clock_(std::move(clock)),
       address_of_(std::move(address_of)) {
   for (int invoker = 0; invoker < invokers; ++invoker) {
-    Front& front = fronts_[invoker];
-    front.listener = std::make_unique<Listener>(loop, [this, invoker](net::Socket socket) {
-      fronts_[invoker].peers.push_back(std::make_shared<Peer>(*this, invoker, std::move(socket)));
+    Endpoint& endpoint = endpoints_[invoker];
+    endpoint.listener = std::make_unique<Listener>(loop, [this, invoker](net::Socket socket) {
+      endpoints_[invoker].peers.push_back(std::make_shared<Peer>(*this, invoker, std::move(socket)));
     });
   }
-  send_numbers();
+  send_sequence();
 }
 
-MembershipLog::~MembershipLog() { loop_.cancel(number_timer_); }
+MembershipLog::~MembershipLog() { loop_.cancel(sequence_timer_); }
 
 const std::string& MembershipLog::address(int invoker) const {
-  return fronts_.at(invoker).listener->address();
+  return endpoints_.at(invoker).listener->address();
 }
 
 void MembershipLog::append(std::vector<MemberRow> rows) {
   for (const MemberRow& row : rows) record_.changes.push_back({clock_(), row.worker, row.state});
   events_.push_back(std::move(rows));
-  for (auto& [invoker, front] : fronts_) {
-    if (front.numbers_only) continue;
+  for (auto& [invoker, endpoint] : endpoints_) {
+    if (endpoint.sequence_only) continue;
     const std::string line = event(events_.size() - 1, invoker).dump() + "\n";
-    for (const auto& peer : front.peers) {
-      for (int i = 0; i < writes_ && peer->asked(); ++i) peer->write(line);
+    for (const auto& peer : endpoint.peers) {
+      for (int i = 0; i < writes_ && peer->has_subscribed(); ++i) peer->write(line);
     }
   }
 }
 
-void MembershipLog::tell_numbers_only(int invoker, bool only) {
-  Front& front = fronts_.at(invoker);
-  front.numbers_only = only;
+void MembershipLog::set_sequence_only(int invoker, bool only) {
+  Endpoint& endpoint = endpoints_.at(invoker);
+  endpoint.sequence_only = only;
   // What was kept back is asked for anew.
-  for (const auto& peer : front.peers) {
+  for (const auto& peer : endpoint.peers) {
     if (!only) peer->end_later();
   }
 }
@@ -108,28 +108,30 @@
   return {{"seq", events_.size()}, {"results", results}};
 }
 
-void MembershipLog::answer(Peer& peer, int invoker, std::uint64_t since) {
-  record_.asks.push_back({invoker, clock_()});
-  if (fronts_.at(invoker).numbers_only) return;
+void MembershipLog::send_events(Peer& peer, int invoker, std::uint64_t since) {
+  record_.log_queries.push_back({invoker, clock_()});
+  if (endpoints_.at(invoker).sequence_only) return;
   for (std::size_t i = since; i < events_.size(); ++i) peer.write(event(i, invoker).dump() + "\n");
-  if (number_after_question_) peer.write(number_line());
+  if (sequence_after_request_) peer.write(sequence_line());
 }
 
-void MembershipLog::peer_ended(Peer& peer, int invoker) { release(fronts_.at(invoker).peers, peer, loop_); }
+void MembershipLog::peer_ended(Peer& peer, int invoker) {
+  release(endpoints_.at(invoker).peers, peer, loop_);
+}
 
-std::string MembershipLog::number_line() const {
+std::string MembershipLog::sequence_line() const {
   const std::string number = std::to_string(events_.size());
-  return numbers_as_objects_ ? "{\"seq\":" + number + "}\n" : number + "\n";
+  return sequence_as_object_ ? "{\"seq\":" + number + "}\n" : number + "\n";
 }
 
-void MembershipLog::send_numbers() {
-  const std::string line = number_line();
-  for (auto& [invoker, front] : fronts_) {
-    for (const auto& peer : front.peers) {
-      if (peer->asked()) peer->write(line);
+void MembershipLog::send_sequence() {
+  const std::string line = sequence_line();
+  for (auto& [invoker, endpoint] : endpoints_) {
+    for (const auto& peer : endpoint.peers) {
+      if (peer->has_subscribed()) peer->write(line);
     }
   }
-  number_timer_ = loop_.at(loop_.now() + kNumberInterval, [this] { send_numbers(); });
+  sequence_timer_ = loop_.at(loop_.now() + kSequenceInterval, [this] { send_sequence(); });
 }
 
 }  // namespace pathstack::soak
--- a/tests/soak/membership_log.h
+++ b/tests/soak/membership_log.h
@@ -42,22 +42,22 @@
   /// Adds an event, in force at once for everybody who is connected. The first one is the complete list.
   void append(std::vector<MemberRow> rows);
   /// Tells invoker `invoker` the number of the last event alone, and no event, from now on or no more.
-  void tell_numbers_only(int invoker, bool only);
+  void set_sequence_only(int invoker, bool only);
   /// Writes each event twice, from now on or no more.
-  void repeat_events(bool twice) { writes_ = twice ? 2 : 1; }
+  void repeat_events(bool duplicate) { writes_ = duplicate ? 2 : 1; }
   /// Each second's number is written as an object, or as a number.
-  void write_numbers_as_objects(bool as_objects) { numbers_as_objects_ = as_objects; }
+  void set_sequence_as_object(bool as_objects) { sequence_as_object_ = as_objects; }
   /// Who asks is told the last number at once, behind the events, as the platform's log does.
-  void write_number_after_question(bool at_once) { number_after_question_ = at_once; }
+  void set_sequence_after_request(bool at_once) { sequence_after_request_ = at_once; }
   /// The configuration's `known`, as invoker `invoker` is given it.
   nlohmann::json known(int invoker) const;
 
  private:
   class Peer;
-  struct Front {
+  struct Endpoint {
     std::unique_ptr<Listener> listener;
     std::list<std::shared_ptr<Peer>> peers;
-    bool numbers_only = false;
+    bool sequence_only = false;
   };
 
   net::Loop& loop_;
@@ -66,17 +66,17 @@
   std::function<Millis()> clock_;
   AddressOf address_of_;
   std::vector<std::vector<MemberRow>> events_;
-  std::map<int, Front> fronts_;
+  std::map<int, Endpoint> endpoints_;
   int writes_ = 1;  // of each event
-  bool numbers_as_objects_ = true;
-  bool number_after_question_ = false;
-  net::Loop::TimerId number_timer_;
+  bool sequence_as_object_ = true;
+  bool sequence_after_request_ = false;
+  net::Loop::TimerId sequence_timer_;
 
   nlohmann::json event(std::size_t index, int invoker) const;
-  void answer(Peer& peer, int invoker, std::uint64_t since);
+  void send_events(Peer& peer, int invoker, std::uint64_t since);
   void peer_ended(Peer& peer, int invoker);
-  void send_numbers();
-  std::string number_line() const;
+  void send_sequence();
+  std::string sequence_line() const;
 };
 
 }  // namespace pathstack::soak
--- a/tests/soak/record.h
+++ b/tests/soak/record.h
@@ -19,22 +19,22 @@
 /// The limits of the platform's rules in one run.
 /// What a run asks of service while the membership log is out of reach.
 struct OutageService {
-  double least_share = 0;      // of calls served, in the outage and after it; 0: nothing is asked
-  Millis counted_from{4500};   // into the outage: by then all that it keeps back counts as told at once
-  Millis restart_within{500};  // of the log's return
+  double min_served_share = 0;  // of calls served, in the outage and after it; 0: nothing is asked
+  Millis counted_after{4500};   // into the outage: by then all that it keeps back counts as told at once
+  Millis recovery_time{500};    // of the log's return
 };
 
 struct RuleSettings {
   Millis drain_grace{250};
   Millis slack{50};  // the page on sockets lengthens each time limit by so much
-  Millis answer_grace{8};
+  Millis reply_grace{8};
   int send_cap = 4;
   double load_floor = 3, load_ratio = 0.15;
   Millis load_window{5000};
   double memory_mb = 128;
   std::size_t descriptors = 512;
-  double least_share = 0;            // of calls served in the run; 0: nothing is asked
-  double least_share_of_second = 0;  // the same of each second
+  double min_served_share = 0;             // of calls served in the run; 0: nothing is asked
+  double min_served_share_per_second = 0;  // the same of each second
   OutageService outage;
 };
 
@@ -47,12 +47,12 @@
 
 /// How the membership log is out of an invoker's reach.
 enum class LogFault {
-  refused,  // connections break, new ones are refused
-  silent,   // open connections stay open, new ones are accepted; nothing passes
-  cut,      // as `silent`, after half of the next line
-  moved,    // a new configuration names another address
-  broken,   // connections break, new ones are accepted and stay silent
-  numbers   // only the number of the last event is told
+  refused,       // connections break, new ones are refused
+  silent,        // open connections stay open, new ones are accepted; nothing passes
+  truncated,     // as `silent`, after half of the next line
+  moved,         // a new configuration names another address
+  reset,         // connections break, new ones are accepted and stay silent
+  sequence_only  // only the number of the last event is told
 };
 
 struct LogOutage {
@@ -67,7 +67,7 @@
 };
 
 /// A `since N` line that reached the log.
-struct LogAsk {
+struct LogQuery {
   int invoker = 0;
   Millis at{0};
 };
@@ -82,27 +82,27 @@
   int instances = 0;  // of an order
   Millis timeout{0};  // of a call: the time that the invoker says it waits
   Millis first_byte{0}, complete{0};
-  std::string answer;           // the word; empty: none
+  std::string reply_status;     // the word; empty: none
   std::optional<Millis> ended;  // answered, dropped, or its connection closed
 };
 
-struct ClientAnswer {
+struct ClientReply {
   Millis at{0};
-  std::string word, body;
+  std::string status, body;
 };
 
 struct Call {
   std::string ref;
   int invoker = 0;
   Semantics semantics = Semantics::repeatable;
-  Millis sent{0}, allowed{0};
-  std::optional<Millis> left;     // cancelled, or the client closed the connection
-  std::optional<Millis> cut_off;  // the invoker closed the connection first
-  std::vector<ClientAnswer> answers;
+  Millis sent{0}, time_limit{0};
+  std::optional<Millis> abandoned;        // cancelled, or the client closed the connection
+  std::optional<Millis> connection_lost;  // the invoker closed the connection first
+  std::vector<ClientReply> replies;
 };
 
 /// One process of an invoker, from its start to its end.
-struct InvokerLife {
+struct ProcessLifetime {
   int invoker = 0;
   Millis started{0};
   std::optional<Millis> ready, terminated, killed, ended;
@@ -127,10 +127,10 @@
   std::vector<MembershipChange> changes;
   std::vector<LogOutage> outages;
   std::vector<LogDelay> delays;
-  std::vector<LogAsk> asks;
+  std::vector<LogQuery> log_queries;
   std::vector<HostRequest> requests;
   std::vector<Call> calls;
-  std::vector<InvokerLife> lives;
+  std::vector<ProcessLifetime> process_lifetimes;
   std::vector<Stall> stalls;
   std::vector<ResourceSample> samples;
   Millis length{0};
--- a/tests/soak/run.cpp
+++ b/tests/soak/run.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis kReadyWithin{20000};
 constexpr Millis kHeartbeat{2};
-constexpr Millis kStall{12};  // a heartbeat so late is a stall of the recorder
+constexpr Millis kStallThreshold{12};  // a heartbeat so late is a stall of the recorder
 constexpr std::size_t kBuffers = 16384;
 
 class Run {
@@ -34,11 +34,11 @@
 
   Record play() {
     for (const auto& slot : slots_) slot->start();
-    const bool ready = turn_until(kReadyWithin, [this] {
+    const bool ready = run_until(kReadyWithin, [this] {
       return std::all_of(slots_.begin(), slots_.end(), [](const auto& slot) { return slot->is_ready(); });
     });
     if (!ready && !stop_) throw std::runtime_error("an invoker was not ready in 20 s");
-    beat();
+    heartbeat();
     const Millis began = now();
     for (const auto& slot : slots_) slot->begin_traffic();
     for (const TimedFault& timed : schedule_.faults) {
@@ -46,10 +46,10 @@
                [this, fault = timed.fault] { std::visit([this](const auto& f) { apply(f); }, fault); });
     }
     const auto never = [] { return false; };
-    turn_until(schedule_.length, never);
+    run_until(schedule_.length, never);
     for (const auto& slot : slots_) slot->end_traffic();
     const Deployment& d = schedule_.deployment;
-    turn_until(std::max(d.allowed_repeatable, d.allowed_once) + Millis(200), never);
+    run_until(std::max(d.repeatable_time_limit, d.once_time_limit) + Millis(200), never);
     record_.length = now();
     (void)began;
     return std::move(record_);
@@ -64,22 +64,22 @@
   Record record_;
   Fleet fleet_;
   std::vector<std::unique_ptr<InvokerSlot>> slots_;
-  Millis last_beat_{0};
+  Millis last_heartbeat_{0};
 
   Millis now() const { return loop_.now() - started_; }
 
   // Notes the times in which this process did not run.
-  void beat() {
+  void heartbeat() {
     const Millis at = now();
-    const bool stalled = last_beat_.count() > 0 && at - last_beat_ > kStall;
-    if (stalled) record_.stalls.push_back({last_beat_, at});
-    last_beat_ = at;
-    loop_.at(loop_.now() + kHeartbeat, [this] { beat(); });
+    const bool stalled = last_heartbeat_.count() > 0 && at - last_heartbeat_ > kStallThreshold;
+    if (stalled) record_.stalls.push_back({last_heartbeat_, at});
+    last_heartbeat_ = at;
+    loop_.at(loop_.now() + kHeartbeat, [this] { heartbeat(); });
   }
 
   template <typename Until>
-  bool turn_until(Millis most, const Until& until) {
-    const Millis end = loop_.now() + most;
+  bool run_until(Millis timeout, const Until& until) {
+    const Millis end = loop_.now() + timeout;
     while (!stop_ && !until() && loop_.now() < end) loop_.turn(end, [] {});
     return until();
   }
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -9,168 +9,174 @@
 namespace {
 
 // Within the drain grace: past it an invoker could not keep the rule by any means.
-constexpr double kLongestLogDelay = 180;
-constexpr double kOutageLeast = 200, kOutageMost = 20000;  // ms
+constexpr double kMaxLogDelayMs = 180;
+constexpr double kMinOutageMs = 200, kMaxOutageMs = 20000;  // ms
 
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : engine_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// At least `least`, below `most`. Written out, as the standard's distributions differ between libraries.
-  double real(double least, double most) {
-    return least + (most - least) * (static_cast<double>(engine_() >> 11) * 0x1p-53);
+  /// At least `min`, below `max`. Written out, as the standard's distributions differ between libraries.
+  double real(double min, double max) {
+    return min + (max - min) * (static_cast<double>(engine_() >> 11) * 0x1p-53);
   }
-  Millis span(double least, double most) { return Millis(real(least, most)); }
-  int whole(int least, int most) {
-    return least + static_cast<int>(engine_() % static_cast<std::uint64_t>(most - least + 1));
+  Millis duration(double min, double max) { return Millis(real(min, max)); }
+  int integer(int min, int max) {
+    return min + static_cast<int>(engine_() % static_cast<std::uint64_t>(max - min + 1));
   }
-  bool one_in(int n) { return whole(1, n) == 1; }
+  bool one_in(int n) { return integer(1, n) == 1; }
   template <typename T, std::size_t N>
   T one_of(const std::array<T, N>& values) {
-    return values[static_cast<std::size_t>(whole(0, static_cast<int>(N) - 1))];
+    return values[static_cast<std::size_t>(integer(0, static_cast<int>(N) - 1))];
   }
 
  private:
   std::mt19937_64 engine_;
 };
 
-Deployment draw_deployment(Draw& draw, const DrawOptions& options) {
+Deployment generate_deployment(RandomSource& random, const GeneratorOptions& options) {
   Deployment d;
-  d.invokers = options.invokers.value_or(draw.whole(2, 4));
-  d.hosts = options.hosts.value_or(draw.whole(6, 10));
-  d.zones = draw.whole(1, 3);
-  d.functions = draw.whole(8, 40);
-  d.calls_per_second = draw.real(20, 60);
-  d.allowed_repeatable = draw.span(300, 2500);
-  d.allowed_once = draw.span(500, 3000);
-  d.send_cap = draw.whole(1, 5);
-  d.probes = !draw.one_in(6);
-  d.numbers_as_objects = !draw.one_in(3);
-  d.descriptors = draw.one_in(3) ? 256 : 512;
-  d.times.load = draw.span(30, 150);
+  d.invokers = options.invokers.value_or(random.integer(2, 4));
+  d.hosts = options.hosts.value_or(random.integer(6, 10));
+  d.zones = random.integer(1, 3);
+  d.functions = random.integer(8, 40);
+  d.calls_per_second = random.real(20, 60);
+  d.repeatable_time_limit = random.duration(300, 2500);
+  d.once_time_limit = random.duration(500, 3000);
+  d.send_cap = random.integer(1, 5);
+  d.probes = !random.one_in(6);
+  d.sequence_as_object = !random.one_in(3);
+  d.descriptors = random.one_in(3) ? 256 : 512;
+  d.times.load = random.duration(30, 150);
   return d;
 }
 
 // Drains and crashes befall the first half of the hosts, faults the second without the last one: so a worker
 // that may be used is always left.
-int drainable_host(Draw& draw, const Deployment& d) { return draw.whole(0, d.hosts / 2 - 1); }
-int faulty_host(Draw& draw, const Deployment& d) { return draw.whole(d.hosts / 2, d.hosts - 2); }
+int drainable_host(RandomSource& random, const Deployment& d) { return random.integer(0, d.hosts / 2 - 1); }
+int faulty_host(RandomSource& random, const Deployment& d) {
+  return random.integer(d.hosts / 2, d.hosts - 2);
+}
 
-DrainFault draw_drain(Draw& draw, const Deployment& d) {
+DrainFault generate_drain(RandomSource& random, const Deployment& d) {
   DrainFault drain;
-  drain.host = drainable_host(draw, d);
-  drain.notice = draw.span(0, 800);
-  drain.gone_after = drain.notice + draw.span(300, 8000);
-  drain.back_after = draw.one_in(4) ? Millis(0) : draw.span(20, 3000);
-  drain.as_another = draw.one_in(4);
+  drain.host = drainable_host(random, d);
+  drain.event_delay = random.duration(0, 800);
+  drain.stop_after = drain.event_delay + random.duration(300, 8000);
+  drain.restart_after = random.one_in(4) ? Millis(0) : random.duration(20, 3000);
+  drain.with_new_id = random.one_in(4);
   return drain;
 }
 
-void draw_discovery(Draw& draw, const DrawOptions& options, const Deployment& d, bool with_drains,
-                    std::vector<TimedFault>& faults) {
-  constexpr std::array<LogFault, 5> kFaults{LogFault::refused, LogFault::silent, LogFault::cut,
-                                            LogFault::broken, LogFault::numbers};
-  for (Millis at = draw.span(500, 3000); at < options.length - Millis(1500);) {
-    const double longest = std::min(kOutageMost, (options.length - at).count());
+void generate_discovery(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                        bool with_drains, std::vector<TimedFault>& faults) {
+  constexpr std::array<LogFault, 5> kFaults{LogFault::refused, LogFault::silent, LogFault::truncated,
+                                            LogFault::reset, LogFault::sequence_only};
+  for (Millis at = random.duration(500, 3000); at < options.length - Millis(1500);) {
+    const double longest = std::min(kMaxOutageMs, (options.length - at).count());
     // Short ones as often as long ones.
-    const double share = draw.real(0, 1);
+    const double share = random.real(0, 1);
     LogOutageFault outage;
-    outage.invoker = draw.one_in(3) ? draw.whole(0, d.invokers - 1) : -1;
-    outage.fault = draw.one_of(kFaults);
-    outage.length = Millis(kOutageLeast + (longest - kOutageLeast) * share * share);
-    if (outage.length.count() < kOutageLeast) break;
+    outage.invoker = random.one_in(3) ? random.integer(0, d.invokers - 1) : -1;
+    outage.fault = random.one_of(kFaults);
+    outage.length = Millis(kMinOutageMs + (longest - kMinOutageMs) * share * share);
+    if (outage.length.count() < kMinOutageMs) break;
     faults.push_back({at, outage});
     if (with_drains) {
       const std::array<Millis, 5> moments{Millis(-300), Millis(0), outage.length / 2, outage.length,
                                           outage.length + Millis(300)};
-      for (int i = draw.whole(1, 3); i > 0; --i) {
-        const Millis drains_at = at + draw.one_of(moments) + draw.span(0, 700);
-        faults.push_back({std::max(drains_at, Millis(0)), draw_drain(draw, d)});
+      for (int i = random.integer(1, 3); i > 0; --i) {
+        const Millis drains_at = at + random.one_of(moments) + random.duration(0, 700);
+        faults.push_back({std::max(drains_at, Millis(0)), generate_drain(random, d)});
       }
     }
-    at += outage.length + draw.span(500, 5000);
+    at += outage.length + random.duration(500, 5000);
   }
-  if (draw.one_in(2)) {
-    faults.push_back({draw.span(0, options.length.count()),
-                      LogDelayFault{draw.span(10, kLongestLogDelay), draw.span(500, 6000)}});
+  if (random.one_in(2)) {
+    faults.push_back({random.duration(0, options.length.count()),
+                      LogDelayFault{random.duration(10, kMaxLogDelayMs), random.duration(500, 6000)}});
   }
-  for (int i = draw.whole(0, 2); i > 0; --i) {
-    faults.push_back({draw.span(0, options.length.count()), LogBreakFault{}});
+  for (int i = random.integer(0, 2); i > 0; --i) {
+    faults.push_back({random.duration(0, options.length.count()), LogBreakFault{}});
   }
-  if (draw.one_in(3)) {
-    faults.push_back({draw.span(0, options.length.count()), LogRepeatFault{draw.span(1000, 8000)}});
+  if (random.one_in(3)) {
+    faults.push_back(
+        {random.duration(0, options.length.count()), LogRepeatFault{random.duration(1000, 8000)}});
   }
 }
 
-void draw_drains(Draw& draw, const DrawOptions& options, const Deployment& d,
-                 std::vector<TimedFault>& faults) {
-  for (int i = draw.whole(1, 4); i > 0; --i) {
-    faults.push_back({draw.span(500, options.length.count()), draw_drain(draw, d)});
+void generate_drains(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                     std::vector<TimedFault>& faults) {
+  for (int i = random.integer(1, 4); i > 0; --i) {
+    faults.push_back({random.duration(500, options.length.count()), generate_drain(random, d)});
   }
-  if (draw.one_in(3)) {
-    const ZoneDrainFault zone{draw.whole(0, d.zones - 1), d.hosts / 2, draw_drain(draw, d)};
-    faults.push_back({draw.span(500, options.length.count()), zone});
+  if (random.one_in(3)) {
+    const ZoneDrainFault zone{random.integer(0, d.zones - 1), d.hosts / 2, generate_drain(random, d)};
+    faults.push_back({random.duration(500, options.length.count()), zone});
   }
-  if (!draw.one_in(2)) return;
-  faults.push_back({draw.span(500, options.length.count()),
-                    CrashFault{drainable_host(draw, d), draw.span(100, 2000), draw.span(20, 2000)}});
+  if (!random.one_in(2)) return;
+  faults.push_back(
+      {random.duration(500, options.length.count()),
+       CrashFault{drainable_host(random, d), random.duration(100, 2000), random.duration(20, 2000)}});
 }
 
-void draw_hosts(Draw& draw, const DrawOptions& options, const Deployment& d,
-                std::vector<TimedFault>& faults) {
+void generate_host_faults(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                          std::vector<TimedFault>& faults) {
   constexpr std::array<HostFault, 10> kFaults{
-      HostFault::moot,      HostFault::full,       HostFault::failing, HostFault::slow,  HostFault::hanging,
-      HostFault::resetting, HostFault::forgetting, HostFault::spoilt,  HostFault::twice, HostFault::refusing};
-  for (int i = draw.whole(1, 4); i > 0; --i) {
+      HostFault::moot,        HostFault::full,      HostFault::failing,      HostFault::slow,
+      HostFault::hanging,     HostFault::resetting, HostFault::closing_idle, HostFault::some_malformed,
+      HostFault::duplicating, HostFault::refusing};
+  for (int i = random.integer(1, 4); i > 0; --i) {
     HostFaultSpan span;
-    span.host = faulty_host(draw, d);
-    span.fault = draw.one_of(kFaults);
-    span.length = draw.span(300, 6000);
-    faults.push_back({draw.span(500, options.length.count()), span});
+    span.host = faulty_host(random, d);
+    span.fault = random.one_of(kFaults);
+    span.length = random.duration(300, 6000);
+    faults.push_back({random.duration(500, options.length.count()), span});
   }
 }
 
-void draw_signals(Draw& draw, const DrawOptions& options, const Deployment& d,
-                  std::vector<TimedFault>& faults) {
-  using What = SignalFault::What;
-  constexpr std::array<What, 6> kWhat{What::counters, What::reload,         What::move,
-                                      What::restart,  What::restart_reload, What::kill};
-  for (int i = draw.whole(1, 4); i > 0; --i) {
+void generate_signals(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                      std::vector<TimedFault>& faults) {
+  using Kind = SignalFault::Kind;
+  constexpr std::array<Kind, 6> kKinds{Kind::counters, Kind::reload,         Kind::move,
+                                       Kind::restart,  Kind::restart_reload, Kind::kill};
+  for (int i = random.integer(1, 4); i > 0; --i) {
     SignalFault signal;
-    signal.invoker = draw.whole(0, d.invokers - 1);
-    signal.what = draw.one_of(kWhat);
-    signal.times = draw.whole(1, 3);
-    if (draw.one_in(2)) signal.new_log_late = draw.span(100, 5000);
-    faults.push_back({draw.span(1500, options.length.count()), signal});
+    signal.invoker = random.integer(0, d.invokers - 1);
+    signal.kind = random.one_of(kKinds);
+    signal.times = random.integer(1, 3);
+    if (random.one_in(2)) signal.new_log_delay = random.duration(100, 5000);
+    faults.push_back({random.duration(1500, options.length.count()), signal});
   }
 }
 
-void draw_clients(Draw& draw, const DrawOptions& options, const Deployment& d,
-                  std::vector<TimedFault>& faults) {
-  using What = ClientFault::What;
-  constexpr std::array<What, 6> kWhat{What::crowd,  What::burst,     What::cancels,
-                                      What::leaves, What::bad_bytes, What::pieces};
-  for (int i = draw.whole(1, 5); i > 0; --i) {
+void generate_client_faults(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                            std::vector<TimedFault>& faults) {
+  using Kind = ClientFault::Kind;
+  constexpr std::array<Kind, 6> kKinds{Kind::idle_connections, Kind::burst,           Kind::cancels,
+                                       Kind::disconnects,      Kind::malformed_input, Kind::split_requests};
+  for (int i = random.integer(1, 5); i > 0; --i) {
     ClientFault fault;
-    fault.invoker = draw.whole(0, d.invokers - 1);
-    fault.what = draw.one_of(kWhat);
-    fault.count = draw.whole(5, 120);
-    faults.push_back({draw.span(500, options.length.count()), fault});
+    fault.invoker = random.integer(0, d.invokers - 1);
+    fault.kind = random.one_of(kKinds);
+    fault.count = random.integer(5, 120);
+    faults.push_back({random.duration(500, options.length.count()), fault});
   }
 }
 
-void draw_machine(Draw& draw, const DrawOptions& options, const Deployment& d,
-                  std::vector<TimedFault>& faults) {
+void generate_machine_faults(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
+                             std::vector<TimedFault>& faults) {
   constexpr std::array<double, 4> kSteps{-3600000, -5000, 5000, 3600000};
-  for (int i = draw.whole(0, 2); i > 0; --i) {
-    faults.push_back({draw.span(500, options.length.count()), ClockStepFault{Millis(draw.one_of(kSteps))}});
+  for (int i = random.integer(0, 2); i > 0; --i) {
+    faults.push_back(
+        {random.duration(500, options.length.count()), ClockStepFault{Millis(random.one_of(kSteps))}});
   }
-  for (int i = draw.whole(0, 2); i > 0; --i) {
+  for (int i = random.integer(0, 2); i > 0; --i) {
     SystemCallFault fault;
-    fault.invoker = draw.whole(0, d.invokers - 1);
-    fault.per_mille = draw.one_in(4) ? 300 : 40;
-    fault.length = fault.per_mille > 100 ? draw.span(50, 300) : draw.span(500, 5000);
-    faults.push_back({draw.span(1500, options.length.count()), fault});
+    fault.invoker = random.integer(0, d.invokers - 1);
+    fault.per_mille = random.one_in(4) ? 300 : 40;
+    fault.length = fault.per_mille > 100 ? random.duration(50, 300) : random.duration(500, 5000);
+    faults.push_back({random.duration(1500, options.length.count()), fault});
   }
 }
 
@@ -196,9 +202,9 @@
   for (int host = 0; host < 2; ++host) {
     DrainFault drain;
     drain.host = host;
-    drain.notice = Millis(100);
-    drain.gone_after = Millis(10800);
-    drain.back_after = Millis(600);
+    drain.event_delay = Millis(100);
+    drain.stop_after = Millis(10800);
+    drain.restart_after = Millis(600);
     schedule.faults.push_back({outage_at + Millis(500), drain});
   }
   return schedule;
@@ -230,8 +236,8 @@
 // calls. Cause: a worker heard from one invoker less often than the lease on it lasts, and once the last
 // lease had ended nothing lawful was left to begin again. Evidence: `now.withheld` rises to the number of
 // workers.
-Schedule outage_of_fleet(const std::string& name, int invokers, int hosts, double calls_per_second,
-                         double least_share) {
+Schedule fleet_outage(const std::string& name, int invokers, int hosts, double calls_per_second,
+                      double min_served_share) {
   Schedule schedule;
   schedule.name = name;
   schedule.seed = 22;
@@ -239,8 +245,8 @@
   schedule.deployment.hosts = hosts;
   schedule.deployment.calls_per_second = calls_per_second;
   schedule.deployment.probes = false;
-  schedule.deployment.number_after_question = true;
-  schedule.deployment.least_share_in_outage = least_share;
+  schedule.deployment.sequence_after_request = true;
+  schedule.deployment.min_served_share_in_outage = min_served_share;
   return schedule;
 }
 
@@ -249,30 +255,30 @@
   schedule.length = kOutageAt + outage.length + kAfterwards;
   if (outage.fault != LogFault::moved) schedule.faults.push_back({kOutageAt, outage});
   for (int i = 0; outage.fault == LogFault::moved && i < schedule.deployment.invokers; ++i) {
-    const SignalFault move{i, SignalFault::What::move, 1, outage.length, true};
+    const SignalFault move{i, SignalFault::Kind::move, 1, outage.length, true};
     schedule.faults.push_back({kOutageAt, move});
   }
   for (int host = 0; host < 2; ++host) {
     DrainFault drain;
     drain.host = host;
-    drain.gone_after = outage.length + Millis(1000);
-    drain.back_after = Millis(600);
+    drain.stop_after = outage.length + Millis(1000);
+    drain.restart_after = Millis(600);
     schedule.faults.push_back({kOutageAt + drains_after, drain});
   }
 }
 
-std::vector<Schedule> outages_of_fleets() {
+std::vector<Schedule> fleet_outages() {
   std::vector<Schedule> schedules;
   for (const int seconds : {10, 60}) {
     const Millis length(seconds * 1000.0);
     const std::string suffix = "-" + std::to_string(seconds) + "s";
-    Schedule few = outage_of_fleet("no-probes-few-invokers" + suffix, 3, 11, 60, 0.95);
+    Schedule few = fleet_outage("no-probes-few-invokers" + suffix, 3, 11, 60, 0.95);
     add_outage(few, {-1, LogFault::silent, length}, Millis(600));
-    Schedule moved = outage_of_fleet("no-probes-moved-log" + suffix, 6, 20, 30, 0.9);
+    Schedule moved = fleet_outage("no-probes-moved-log" + suffix, 6, 20, 30, 0.9);
     add_outage(moved, {-1, LogFault::moved, length}, Millis(5000));
-    Schedule ten = outage_of_fleet("no-probes-ten-invokers" + suffix, 10, 10, 30, 0.9);
+    Schedule ten = fleet_outage("no-probes-ten-invokers" + suffix, 10, 10, 30, 0.9);
     add_outage(ten, {-1, LogFault::silent, length}, Millis(600));
-    Schedule many = outage_of_fleet("no-probes-many-invokers" + suffix, 30, 30, 10, 0.8);
+    Schedule many = fleet_outage("no-probes-many-invokers" + suffix, 30, 30, 10, 0.8);
     add_outage(many, {-1, LogFault::refused, length}, Millis(6000));
     for (Schedule& each : std::vector<Schedule>{few, moved, ten, many}) schedules.push_back(std::move(each));
   }
@@ -289,8 +295,8 @@
   schedule.length = Millis(18000);
   schedule.deployment.hosts = 8;
   schedule.deployment.calls_per_second = 60;
-  schedule.deployment.least_share = 0.99;
-  schedule.deployment.least_share_of_second = 0.95;
+  schedule.deployment.min_served_share = 0.99;
+  schedule.deployment.min_served_share_per_second = 0.95;
   schedule.faults.push_back({Millis(4000), HostFaultSpan{3, fault, Millis(12000)}});
   return schedule;
 }
@@ -299,9 +305,9 @@
   switch (fault) {
     case LogFault::refused: return "refuses";
     case LogFault::silent: return "is silent";
-    case LogFault::cut: return "is cut off in mid-line";
-    case LogFault::broken: return "breaks off and is silent";
-    case LogFault::numbers: return "tells numbers alone";
+    case LogFault::truncated: return "is cut off in mid-line";
+    case LogFault::reset: return "breaks off and is silent";
+    case LogFault::sequence_only: return "tells numbers alone";
     case LogFault::moved: break;
   }
   return "has moved";
@@ -323,17 +329,17 @@
   return kNames[static_cast<std::size_t>(fault)];
 }
 
-const char* name_of(SignalFault::What what) {
+const char* name_of(SignalFault::Kind kind) {
   constexpr std::array<const char*, 6> kNames{"SIGUSR1", "SIGHUP",          "SIGHUP with a moved log",
                                               "SIGTERM", "SIGHUP, SIGTERM", "SIGKILL"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
-const char* name_of(ClientFault::What what) {
+const char* name_of(ClientFault::Kind kind) {
   constexpr std::array<const char*, 6> kNames{
       "idle connections",           "calls at once",  "cancels", "leaves",
       "connections with bad bytes", "calls in pieces"};
-  return kNames[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 // Writes one fault as a phrase.
@@ -357,23 +363,23 @@
   }
   void operator()(const LogBreakFault&) const { out_ << "connections to the log break"; }
   void operator()(const DrainFault& f) const {
-    out_ << "host " << f.host << " drains, told after " << f.notice.count() << " ms, gone after "
-         << f.gone_after.count() << ", back after " << f.back_after.count()
-         << (f.as_another ? " as another" : "");
+    out_ << "host " << f.host << " drains, told after " << f.event_delay.count() << " ms, gone after "
+         << f.stop_after.count() << ", back after " << f.restart_after.count()
+         << (f.with_new_id ? " as another" : "");
   }
   void operator()(const CrashFault& f) const {
-    out_ << "host " << f.host << " dies, told after " << f.notice.count() << " ms, back after "
-         << f.back_after.count();
+    out_ << "host " << f.host << " dies, told after " << f.event_delay.count() << " ms, back after "
+         << f.restart_after.count();
   }
   void operator()(const HostFaultSpan& f) const {
     out_ << "host " << f.host << ' ' << name_of(f.fault) << " for " << f.length.count() << " ms";
   }
   void operator()(const SignalFault& f) const {
-    out_ << "invoker " << f.invoker << ": " << name_of(f.what) << " x " << f.times << ", new log late by "
-         << f.new_log_late.count() << " ms" << (f.new_log_mute ? ", mute" : "");
+    out_ << "invoker " << f.invoker << ": " << name_of(f.kind) << " x " << f.times << ", new log late by "
+         << f.new_log_delay.count() << " ms" << (f.new_log_silent ? ", mute" : "");
   }
   void operator()(const ClientFault& f) const {
-    out_ << "invoker " << f.invoker << ": " << f.count << ' ' << name_of(f.what);
+    out_ << "invoker " << f.invoker << ": " << f.count << ' ' << name_of(f.kind);
   }
   void operator()(const ClockStepFault& f) const { out_ << "wall clock steps by " << f.by.count() << " ms"; }
   void operator()(const SystemCallFault& f) const {
@@ -385,16 +391,16 @@
   std::ostream& out_;
 };
 
-std::vector<Schedule> all_named() {
+std::vector<Schedule> build_named_schedules() {
   std::vector<Schedule> all{membership_outage("membership-outage-silent", LogFault::silent),
                             membership_outage("membership-outage-refused", LogFault::refused),
-                            membership_outage("membership-outage-cut", LogFault::cut),
+                            membership_outage("membership-outage-cut", LogFault::truncated),
                             outage_without_probes()};
   all.push_back(useless_worker("useless-worker-moot", HostFault::moot));
   all.push_back(useless_worker("useless-worker-full", HostFault::full));
   all.push_back(useless_worker("useless-worker-failing", HostFault::failing));
-  all.push_back(useless_worker("useless-worker-unreadable", HostFault::unreadable));
-  for (Schedule& schedule : outages_of_fleets()) all.push_back(std::move(schedule));
+  all.push_back(useless_worker("useless-worker-unreadable", HostFault::all_malformed));
+  for (Schedule& schedule : fleet_outages()) all.push_back(std::move(schedule));
   return all;
 }
 
@@ -419,31 +425,31 @@
   return std::nullopt;
 }
 
-Schedule draw_schedule(std::uint64_t seed, const DrawOptions& options) {
-  Draw draw(seed);
+Schedule generate_schedule(std::uint64_t seed, const GeneratorOptions& options) {
+  RandomSource random(seed);
   Schedule schedule;
   schedule.name = "seed-" + std::to_string(seed);
   schedule.seed = seed;
   schedule.length = options.length;
-  schedule.deployment = draw_deployment(draw, options);
+  schedule.deployment = generate_deployment(random, options);
   const Deployment& d = schedule.deployment;
   const auto has = [&](FaultKind kind) {
     return std::count(options.kinds.begin(), options.kinds.end(), kind) > 0;
   };
   if (has(FaultKind::discovery)) {
-    draw_discovery(draw, options, d, has(FaultKind::drains), schedule.faults);
+    generate_discovery(random, options, d, has(FaultKind::drains), schedule.faults);
   }
-  if (has(FaultKind::drains)) draw_drains(draw, options, d, schedule.faults);
-  if (has(FaultKind::hosts)) draw_hosts(draw, options, d, schedule.faults);
-  if (has(FaultKind::signals)) draw_signals(draw, options, d, schedule.faults);
-  if (has(FaultKind::clients)) draw_clients(draw, options, d, schedule.faults);
-  if (has(FaultKind::machine)) draw_machine(draw, options, d, schedule.faults);
+  if (has(FaultKind::drains)) generate_drains(random, options, d, schedule.faults);
+  if (has(FaultKind::hosts)) generate_host_faults(random, options, d, schedule.faults);
+  if (has(FaultKind::signals)) generate_signals(random, options, d, schedule.faults);
+  if (has(FaultKind::clients)) generate_client_faults(random, options, d, schedule.faults);
+  if (has(FaultKind::machine)) generate_machine_faults(random, options, d, schedule.faults);
   sort_by_time(schedule.faults);
   return schedule;
 }
 
 std::optional<Schedule> named_schedule(const std::string& name) {
-  for (const Schedule& schedule : all_named()) {
+  for (const Schedule& schedule : build_named_schedules()) {
     if (name == schedule.name) return schedule;
   }
   return std::nullopt;
@@ -451,7 +457,7 @@
 
 std::vector<std::string> schedule_names() {
   std::vector<std::string> names;
-  for (const Schedule& schedule : all_named()) names.push_back(schedule.name);
+  for (const Schedule& schedule : build_named_schedules()) names.push_back(schedule.name);
   return names;
 }
 
@@ -460,8 +466,8 @@
   const Deployment& d = schedule.deployment;
   out << schedule.name << ": " << schedule.length.count() << " ms, " << d.invokers << " invokers, " << d.hosts
       << " hosts in " << d.zones << " zones, " << d.functions << " functions, " << d.calls_per_second
-      << " calls a second and invoker, allowed " << d.allowed_repeatable.count() << " and "
-      << d.allowed_once.count() << " ms, " << d.send_cap << " attempts, probes " << d.probes << ", "
+      << " calls a second and invoker, allowed " << d.repeatable_time_limit.count() << " and "
+      << d.once_time_limit.count() << " ms, " << d.send_cap << " attempts, probes " << d.probes << ", "
       << d.descriptors << " descriptors\n";
   for (const TimedFault& timed : schedule.faults) {
     out << "  " << timed.at.count() << " ms: ";
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -25,15 +25,15 @@
 struct Deployment {
   int invokers = 3, hosts = 8, zones = 2, functions = 24;
   double calls_per_second = 40;  // of one invoker
-  Millis allowed_repeatable{1200}, allowed_once{1500};
+  Millis repeatable_time_limit{1200}, once_time_limit{1500};
   int send_cap = 4;
   bool probes = true, orders = true;
-  bool numbers_as_objects = true;      // the log writes {"seq":N}, else N
-  bool number_after_question = false;  // the log writes its number at once to who asks, too
+  bool sequence_as_object = true;       // the log writes {"seq":N}, else N
+  bool sequence_after_request = false;  // the log writes its number at once to who asks, too
   int descriptors = 512, memory_mb = 128;
   HostTimes times;
-  double least_share = 0, least_share_of_second = 0;  // of calls served; 0: nothing is asked
-  double least_share_in_outage = 0;                   // of calls served; 0: nothing is asked
+  double min_served_share = 0, min_served_share_per_second = 0;  // of calls served; 0: nothing is asked
+  double min_served_share_in_outage = 0;                         // of calls served; 0: nothing is asked
 };
 
 /// The log is out of reach of one invoker, or of all.
@@ -54,10 +54,10 @@
 /// A worker drains, and goes some time later; then another process starts under the same id.
 struct DrainFault {
   int host = 0;
-  Millis notice{0};         // from the drain to its event
-  Millis gone_after{0};     // from the drain
-  Millis back_after{0};     // from the end of the process to the next one; 0: never
-  bool as_another = false;  // the next one has another id, at the same address
+  Millis event_delay{0};     // from the drain to its event
+  Millis stop_after{0};      // from the drain
+  Millis restart_after{0};   // from the end of the process to the next one; 0: never
+  bool with_new_id = false;  // the next one has another id, at the same address
 };
 /// All hosts of a zone drain at once, of those with a place below the bound.
 struct ZoneDrainFault {
@@ -67,7 +67,7 @@
 /// A worker's process ends without draining and starts anew.
 struct CrashFault {
   int host = 0;
-  Millis notice{0}, back_after{0};
+  Millis event_delay{0}, restart_after{0};
 };
 struct HostFaultSpan {
   int host = 0;
@@ -76,7 +76,7 @@
 };
 /// Signals to one invoker.
 struct SignalFault {
-  enum class What {
+  enum class Kind {
     counters,        // SIGUSR1
     reload,          // SIGHUP, nothing changed
     move,            // SIGHUP: the log goes on at another address
@@ -85,15 +85,15 @@
     kill             // SIGKILL
   };
   int invoker = 0;
-  What what = What::counters;
-  int times = 1;              // in a row
-  Millis new_log_late{0};     // of `move`: how long the new address refuses
-  bool new_log_mute = false;  // it accepts meanwhile, and is silent
+  Kind kind = Kind::counters;
+  int times = 1;                // in a row
+  Millis new_log_delay{0};      // of `move`: how long the new address refuses
+  bool new_log_silent = false;  // it accepts meanwhile, and is silent
 };
 struct ClientFault {
-  enum class What { crowd, burst, cancels, leaves, bad_bytes, pieces };
+  enum class Kind { idle_connections, burst, cancels, disconnects, malformed_input, split_requests };
   int invoker = 0;
-  What what = What::crowd;
+  Kind kind = Kind::idle_connections;
   int count = 0;
 };
 /// The wall clock of all invokers is stepped.
@@ -125,14 +125,14 @@
 };
 
 /// What a user may fix of a drawn schedule.
-struct DrawOptions {
+struct GeneratorOptions {
   Millis length{30000};
   std::optional<int> invokers, hosts;
   std::vector<FaultKind> kinds = all_kinds();
 };
 
 /// The same seed and options give the same schedule.
-Schedule draw_schedule(std::uint64_t seed, const DrawOptions& options);
+Schedule generate_schedule(std::uint64_t seed, const GeneratorOptions& options);
 
 /// A schedule kept for a failure that was found; nothing for an unknown name.
 std::optional<Schedule> named_schedule(const std::string& name);
--- a/tests/soak/site_settings.cpp
+++ b/tests/soak/site_settings.cpp
@@ -33,9 +33,9 @@
   rules.send_cap = deployment.send_cap;
   rules.memory_mb = deployment.memory_mb;
   rules.descriptors = static_cast<std::size_t>(deployment.descriptors);
-  rules.least_share = deployment.least_share;
-  rules.least_share_of_second = deployment.least_share_of_second;
-  rules.outage.least_share = deployment.least_share_in_outage;
+  rules.min_served_share = deployment.min_served_share;
+  rules.min_served_share_per_second = deployment.min_served_share_per_second;
+  rules.outage.min_served_share = deployment.min_served_share_in_outage;
   return rules;
 }
 
@@ -52,9 +52,10 @@
   settings["Bounds"] = {{"Cancel", true},        {"ConnIdle", 30000},     {"ConnectTimeout", 250},
                         {"Probes", d.probes},    {"SecondCopies", false}, {"SendCap", d.send_cap},
                         {"StreamsPerConn", 100}, {"PeerMessages", false}, {"RetryAfter", false}};
-  settings["Classes"] = {class_of(class_name(Semantics::repeatable), "repeatable", d.allowed_repeatable, 3),
-                         class_of(class_name(Semantics::keyed), "by_key", d.allowed_repeatable, 5),
-                         class_of(class_name(Semantics::once), "once", d.allowed_once, 9)};
+  settings["Classes"] = {
+      class_of(class_name(Semantics::repeatable), "repeatable", d.repeatable_time_limit, 3),
+      class_of(class_name(Semantics::keyed), "by_key", d.repeatable_time_limit, 5),
+      class_of(class_name(Semantics::once), "once", d.once_time_limit, 9)};
   settings["Tenants"] = {{{"Name", "tenant-a"}, {"Share", 1.0}, {"QuotaPerS", 1000}}};
   settings["FamilyInfo"] = {{"OnMiss", "load"},
                             {"Orders", d.orders},
--- a/tests/soak/worker_host.h
+++ b/tests/soak/worker_host.h
@@ -22,21 +22,21 @@
 /// How a worker fails, beside draining and going.
 enum class HostFault {
   none,
-  full,        // turns all calls away
-  failing,     // answers `failed` at once
-  moot,        // says that calls were over already
-  slow,        // runs take ten times as long
-  hanging,     // reads and answers nothing
-  resetting,   // ends a connection under every fourth call
-  forgetting,  // ends connections that have nothing open
-  spoilt,      // one answer in eight cannot be read
-  twice,       // one answer in four comes twice
-  refusing,    // takes no new connection
-  unreadable   // no answer to a call can be read
+  full,            // turns all calls away
+  failing,         // answers `failed` at once
+  moot,            // says that calls were over already
+  slow,            // runs take ten times as long
+  hanging,         // reads and answers nothing
+  resetting,       // ends a connection under every fourth call
+  closing_idle,    // ends connections that have nothing open
+  some_malformed,  // one answer in eight cannot be read
+  duplicating,     // one answer in four comes twice
+  refusing,        // takes no new connection
+  all_malformed    // no answer to a call can be read
 };
 
 struct HostTimes {
-  Millis run_least{15}, run_most{60}, load{80};
+  Millis run_min{15}, run_max{60}, load{80};
 };
 
 /// One worker. A process of it that goes and comes back is the same object, empty.
@@ -50,11 +50,11 @@
 
   const std::string& id() const { return id_; }
   /// `id` is its own, or was before it was renamed.
-  bool has_been(const std::string& id) const { return ids_.count(id) != 0; }
+  bool has_had_id(const std::string& id) const { return all_ids_.count(id) != 0; }
   /// The next process at this address has another id.
   void rename(const std::string& id);
   const std::string& zone() const { return zone_; }
-  std::string address(int invoker) const { return fronts_.at(invoker).listener->address(); }
+  std::string address(int invoker) const { return endpoints_.at(invoker).listener->address(); }
 
   /// Turns new work away and says so to probes; what runs is completed.
   void drain() { draining_ = true; }
@@ -66,7 +66,7 @@
 
  private:
   class Peer;
-  struct Front {
+  struct Endpoint {
     std::unique_ptr<Listener> listener;
     std::list<std::shared_ptr<Peer>> peers;
   };
@@ -76,24 +76,24 @@
   Record& record_;
   std::function<Millis()> clock_;
   std::string id_, zone_;
-  std::set<std::string> ids_;  // all so far
+  std::set<std::string> all_ids_;  // all so far
   HostTimes times_;
   std::mt19937_64 random_;
-  std::map<int, Front> fronts_;
+  std::map<int, Endpoint> endpoints_;
   std::set<std::string> loaded_;
-  std::map<std::string, int> in_hand_;  // calls by function
+  std::map<std::string, int> running_calls_;  // calls by function
   bool draining_ = false, stopped_ = false;
   HostFault fault_ = HostFault::none;
-  std::uint64_t process_ = 1;  // what was begun by an earlier process never ends
+  std::uint64_t process_generation_ = 1;  // what was begun by an earlier process never ends
 
   bool one_in(std::uint64_t n) { return random_() % n == 0; }
-  void take(Peer& peer, const hosts::Reply& line, Millis first_byte);
-  void take_call(Peer& peer, const hosts::Reply& line, Millis first_byte);
-  void take_load_order(Peer& peer, const hosts::Reply& line, Millis first_byte);
-  void run_call(const std::weak_ptr<Peer>& peer, std::size_t request, const std::string& function,
-                const std::string& body, int crowd);
-  void finish(Peer& peer, std::size_t request, const std::string& word, const std::string& fields,
-              const std::string& body);
+  void handle_line(Peer& peer, const hosts::Reply& line, Millis first_byte);
+  void handle_call(Peer& peer, const hosts::Reply& line, Millis first_byte);
+  void handle_load_order(Peer& peer, const hosts::Reply& line, Millis first_byte);
+  void run_call(const std::weak_ptr<Peer>& peer, std::size_t record_index, const std::string& function,
+                const std::string& body, int running);
+  void send_reply(Peer& peer, std::size_t record_index, const std::string& status, const std::string& fields,
+                  const std::string& body);
   std::weak_ptr<Peer> weak_to(const Peer& peer) const;
   void peer_ended(Peer& peer);
 };
