--- a/tests/soak/call_client.cpp
+++ b/tests/soak/call_client.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr Millis kCloseRaceWindow{50};  // a call this close to the end of an idle connection is sent again
+constexpr Millis kCloseRaceWindow{50};  // a call sent this shortly before the close is sent again
 
 }  // namespace
 
@@ -115,8 +115,8 @@
   if (ended != finished_.end()) record_.calls[ended->second].replies.push_back(reply);
 }
 
-// An invoker may close a connection that has no open call; what crosses that close the client sends again,
-// once. It has crossed if all that is open was sent just now.
+// An invoker may close a connection without open calls while the client sends one. The client sends such a
+// call once more. This is the case if all open calls were sent within `kCloseRaceWindow`.
 void CallClient::ended() {
   closed_ = true;
   const Millis now = clock_();
@@ -128,7 +128,7 @@
   for (const auto& [tag, call] : open_) {
     Call& recorded = record_.calls[call.record_index];
     recorded.connection_lost = now;
-    // Never taken, or sent again: the next record of this ref is the one that counts.
+    // A call that was never sent, or is sent again, is excused: only the next record of its ref is checked.
     const bool not_taken = !connected_;
     if (not_taken || all_in_race_window) recorded.abandoned = now;
     if (all_in_race_window) on_retry_(call.request);
--- a/tests/soak/call_client.h
+++ b/tests/soak/call_client.h
@@ -1,4 +1,4 @@
-// A client of one invoker, on one connection.
+/// A client of one invoker, with one connection.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace pathstack::soak {
 
-/// What a client asks for.
+/// Parameters of a call.
 struct CallRequest {
   std::string ref, class_name;
   std::uint64_t function = 0;
@@ -21,38 +21,40 @@
   Millis time_limit{0};
 };
 
-/// Sends calls and records them and their answers.
+/// Sends calls and records them with their replies.
 class CallClient final : public net::Stream {
  public:
-  /// A call that crossed the close of an idle connection and may be sent again, once.
+  /// Called for a call that was sent while the invoker closed the idle connection; it may be sent once more.
   using OnRetry = std::function<void(const CallRequest&)>;
 
   CallClient(net::Loop& loop, net::BufferPool& pool, Record& record, std::function<Millis()> clock,
              int invoker, const std::string& address, OnRetry on_retry);
 
+  /// True once the connection has ended, or could not be opened.
   bool closed() const { return closed_; }
+  /// True once the invoker has replied `UP` to `check`.
   bool is_up() const { return up_; }
   std::size_t open_calls() const { return open_.size(); }
-  /// True once the connection is made.
+  /// True once the connection is established.
   bool is_connected() const { return connected_; }
 
-  /// Sends a call now. `is_retry`: it was sent once before, under the same ref.
+  /// Sends a call. `is_retry`: the call was sent before, with the same ref.
   void call(const CallRequest& request, bool is_retry = false);
-  /// Sends the first half of a call; `send_second_half` sends the other, and the call counts from then on.
+  /// Sends the first half of a call; `send_second_half` sends the rest and records the call.
   void send_first_half(const CallRequest& request);
   void send_second_half();
   /// Cancels the oldest open call, if there is one.
   void cancel_oldest();
-  /// Closes the connection with whatever is open on it.
+  /// Closes the connection and abandons the open calls.
   void disconnect();
-  /// Asks whether the invoker is up.
+  /// Sends a CHECK request.
   void check();
-  /// Sends bytes that are no request.
+  /// Sends arbitrary bytes, such as a malformed request.
   void send_raw(const std::string& bytes) { write(bytes); }
 
  private:
   struct OpenCall {
-    std::size_t record_index = 0;  // in the record
+    std::size_t record_index = 0;  // in Record::calls
     CallRequest request;
     bool is_retry = false;
   };
@@ -62,11 +64,11 @@
   OnRetry on_retry_;
   resp::Parser parser_;
   std::map<std::uint64_t, OpenCall> open_;       // by tag
-  std::map<std::string, std::size_t> finished_;  // place by tag, of calls answered or cancelled
+  std::map<std::string, std::size_t> finished_;  // record index by tag, of replied and cancelled calls
   std::uint64_t last_tag_ = 0;
   bool closed_ = false, up_ = false, connected_ = false;
   CallRequest partial_request_;
-  std::string unsent_half_;  // of the call begun
+  std::string unsent_half_;  // of `partial_request_`
 
   std::string message_of(const CallRequest& request, std::uint64_t tag) const;
   void record_call(const CallRequest& request, std::uint64_t tag, bool is_retry);
--- a/tests/soak/fault_control.h
+++ b/tests/soak/fault_control.h
@@ -1,4 +1,4 @@
-// What the preloaded fault library is told, in a file that both sides map.
+/// Settings of the preloaded fault library, in a file that the soak test and the invoker both map.
 #pragma once
 
 #include <atomic>
@@ -6,13 +6,13 @@
 
 namespace pathstack::soak {
 
-/// Name of the environment variable that holds the file's path.
+/// Environment variable with the path of the control file.
 inline constexpr const char* kFaultControlVariable = "PATHSTACK_SOAK_FAULTS";
 
-/// All zero: no fault.
+/// Content of the control file. All fields zero: no faults.
 struct FaultControl {
   std::atomic<std::int64_t> wall_clock_offset_ms;
-  std::atomic<std::uint32_t> failures_per_mille;  // of the system calls that may fail
+  std::atomic<std::uint32_t> failures_per_mille;  // of each system call that may fail
 };
 
 }  // namespace pathstack::soak
--- a/tests/soak/fault_control_file.h
+++ b/tests/soak/fault_control_file.h
@@ -1,4 +1,4 @@
-// The recorder's side of a control file.
+/// The soak test's side of a control file.
 #pragma once
 
 #include <fcntl.h>
@@ -12,7 +12,8 @@
 
 namespace pathstack::soak {
 
-/// Creates the file, all zero, and maps it. Throws std::runtime_error if that fails.
+/// Creates the file with all fields zero and maps it. The constructor throws std::runtime_error if that
+/// fails.
 class FaultControlFile {
  public:
   explicit FaultControlFile(std::string path) : path_(std::move(path)) {
--- a/tests/soak/fault_library.cpp
+++ b/tests/soak/fault_library.cpp
@@ -1,5 +1,6 @@
-// Preloaded into an invoker by the soak: steps its wall clock, and has system calls fail or come short as
-// Linux documents that they may. Does nothing unless the environment names a control file.
+// Library that the soak test preloads into an invoker: shifts the wall clock, and lets system calls fail or
+// transfer less than asked for, in ways that Linux documents. Does nothing unless the environment names a
+// control file.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -6,7 +6,7 @@
 
 namespace pathstack::soak {
 
-// One of the two connections of a link.
+// One of the two connections of a link: to the client or to the target.
 class FaultProxy::Side final : public net::Stream {
  public:
   Side(FaultProxy& proxy, Link& link, net::Socket socket, bool connecting)
@@ -75,7 +75,7 @@
   }
 }
 
-// Both sides end together.
+// The end of one connection closes the other one too.
 void FaultProxy::link_ended(Link& link) {
   if (std::exchange(link.ending, true)) return;
   link.client->end_later();
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,4 +1,4 @@
-// A TCP proxy whose faults a schedule sets.
+/// A TCP proxy that simulates connection faults.
 #pragma once
 
 #include <list>
@@ -12,14 +12,14 @@
 
 namespace pathstack::soak {
 
-/// Stands between an invoker and one other party. Destroyed before the loop.
+/// Forwards between an invoker and one target address. Must be destroyed before the loop.
 class FaultProxy {
  public:
   enum class Mode {
-    pass,     // forwards all bytes
-    refuse,   // has ended its connections, and takes no new one
-    silent,   // keeps and takes connections, forwards nothing
-    truncate  // as `silent`, once it has forwarded half of the target's next bytes
+    pass,     // forwards all data
+    refuse,   // closes all connections and refuses new ones
+    silent,   // keeps and accepts connections, forwards nothing
+    truncate  // forwards half of the target's next data, then as `silent`
   };
 
   FaultProxy(net::Loop& loop, net::BufferPool& pool, std::string target);
@@ -29,12 +29,12 @@
 
   const std::string& address() const { return listener_.address(); }
 
-  /// Changes the mode; connections that were silenced end with the return to `pass`, as what was held back
-  /// is lost.
+  /// Changes the mode. Returning from `silent` or `truncate` to `pass` closes the connections, as the data
+  /// received meanwhile is lost.
   void set_mode(Mode mode);
-  /// Forwards the target's bytes later by this much.
+  /// Delays data from the target by this much.
   void set_delay(Millis delay) { delay_ = delay; }
-  /// Ends all connections once; new ones are taken.
+  /// Closes all connections once; new ones are accepted.
   void break_connections();
 
  private:
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -14,7 +14,7 @@
     case LogFault::refused: return FaultProxy::Mode::refuse;
     case LogFault::truncated: return FaultProxy::Mode::truncate;
     case LogFault::sequence_only: return FaultProxy::Mode::pass;
-    case LogFault::reset:
+    case LogFault::closed:
     case LogFault::silent:
     case LogFault::moved: break;
   }
@@ -74,7 +74,8 @@
   }
 }
 
-// One that begins within another is passed over: its clocks would depend on which one ends first.
+// Skips an outage that would overlap another one: when its events count as known would depend on which ends
+// first.
 void Fleet::begin_outage(int invoker, LogFault fault, Millis length) {
   LogAccess& access = log_proxies_[static_cast<std::size_t>(invoker)];
   const Millis now = clock_();
@@ -83,7 +84,7 @@
   record_.outages.push_back({invoker, fault, now, now + length});
   FaultProxy* const proxy = access.current;
   proxy->set_mode(mode_of(fault));
-  if (fault == LogFault::reset) proxy->break_connections();
+  if (fault == LogFault::closed) proxy->break_connections();
   if (fault == LogFault::sequence_only) log_.set_sequence_only(invoker, true);
   after(length, [this, proxy, invoker] {
     proxy->set_mode(FaultProxy::Mode::pass);
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -1,4 +1,4 @@
-// The workers, the membership log and the proxies in front of it.
+/// The simulated workers, the membership log and the fault proxies in front of the log.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace pathstack::soak {
 
-/// All that the invokers of a run talk to, but for clients. Destroyed before the loop.
+/// All peers of the invokers of a run except the clients. Must be destroyed before the loop.
 class Fleet {
  public:
   Fleet(net::Loop& loop, net::BufferPool& pool, Record& record, std::function<Millis()> clock,
@@ -24,8 +24,9 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Where invoker `invoker` is to ask for the log's events.
+  /// Address at which invoker `invoker` reads the membership log.
   const std::string& log_address(int invoker) const { return log_proxies_[invoker].current->address(); }
+  /// Value of `known` in the configuration of invoker `invoker`.
   nlohmann::json known_events(int invoker) const { return log_.known(invoker); }
 
   void apply(const LogOutageFault& fault);
@@ -37,15 +38,17 @@
   void apply(const CrashFault& fault);
   void apply(const HostFaultSpan& fault);
 
-  /// The log goes on at a new address for the invoker, which refuses for `delay`, or is mute. The old one
-  /// tells nothing further, takes no new connection and closes its own 1.5 s later. The caller sends SIGHUP.
+  /// Moves the log to a new address for the invoker. For `delay` the new address refuses connections or, if
+  /// `silent`, accepts them and sends nothing. The old address sends nothing more; 1.5 s later it closes its
+  /// connections and refuses new ones. The caller sends SIGHUP. No effect during an outage of the invoker's
+  /// log.
   void move_log(int invoker, Millis delay, bool silent);
 
  private:
   struct LogAccess {
-    std::vector<std::unique_ptr<FaultProxy>> proxies;  // of all addresses so far
+    std::vector<std::unique_ptr<FaultProxy>> proxies;  // one per address, the current one last
     FaultProxy* current = nullptr;
-    Millis outage_end{0};
+    Millis outage_end{0};  // of the last outage
   };
 
   net::Loop& loop_;
@@ -54,7 +57,7 @@
   std::function<Millis()> clock_;
   Deployment deployment_;
   std::vector<std::unique_ptr<WorkerHost>> hosts_;
-  std::vector<bool> host_busy_;  // it drains, is gone or is about to come back
+  std::vector<bool> host_busy_;  // draining, stopped or about to restart
   MembershipLog log_;
   std::vector<LogAccess> log_proxies_;
 
--- a/tests/soak/invoker_slot.cpp
+++ b/tests/soak/invoker_slot.cpp
@@ -15,15 +15,15 @@
 
 constexpr Millis kPollInterval{10};
 constexpr Millis kSampleInterval{500};
-constexpr Millis kNewConnectionsAfterTerm{300};
-constexpr Millis kKillMargin{700};        // SIGKILL comes so long after the longest deadline
-constexpr Millis kLongestDeadline{3000};  // of which so much counts
-constexpr Millis kRestartDelay{300};      // between two processes
-constexpr Millis kSplitDelay{40};         // between the pieces of a call
+constexpr Millis kNewConnectionsAfterTerm{300};  // clients still connect for this long
+constexpr Millis kKillMargin{700};        // SIGKILL follows SIGTERM after the longest time limit plus this
+constexpr Millis kLongestDeadline{3000};  // upper bound of the time limit in the delay of SIGKILL
+constexpr Millis kRestartDelay{300};      // between the end of a process and the next start
+constexpr Millis kSplitDelay{40};         // between the two parts of a split call
 constexpr std::size_t kMaxCallsPerConnection = 32;
 constexpr std::size_t kMaxClients = 6;
 
-// `fraction` is at least 0, below 1.
+// `fraction` is in [0, 1).
 Semantics pick_semantics(double fraction) {
   if (fraction < 0.5) return Semantics::repeatable;
   return fraction < 0.65 ? Semantics::keyed : Semantics::once;
@@ -157,7 +157,7 @@
 
 void InvokerSlot::apply(const SignalFault& fault) {
   using Kind = SignalFault::Kind;
-  // The page sends SIGHUP never before an invoker is ready, nor within its first second.
+  // By the platform's rules an invoker gets no SIGHUP before it is ready, nor within its first second.
   const bool settled = is_ready() && clock_() > lifetime().started + Millis(1000);
   if (!settled || lifetime().terminated) return;
   if (fault.kind == Kind::kill) return kill_now();
@@ -185,13 +185,13 @@
                                       [this](const CallRequest& request) { call(true, &request); });
 }
 
-// New connections go to a process that runs, and for a while to one that is ending.
+// Clients connect to a running process, and for a short time to one that is terminating.
 bool InvokerSlot::may_connect() {
   if (!is_ready()) return false;
   return !lifetime().terminated || clock_() < *lifetime().terminated + kNewConnectionsAfterTerm;
 }
 
-// Connections that have closed are kept to the end of the turn, as a call may come from inside one.
+// Destroys closed clients at the end of the turn, as this may run inside a function of one of them.
 CallClient* InvokerSlot::free_client() {
   for (auto i = clients_.begin(); i != clients_.end();) {
     const bool closed = (*i)->closed();
--- a/tests/soak/judge/answer_rule.h
+++ b/tests/soak/judge/answer_rule.h
@@ -1,4 +1,4 @@
-// The rule on final answers.
+/// Rule `answer`: every call gets exactly one final reply, in time.
 #pragma once
 
 #include "judge/broken_rule.h"
@@ -6,9 +6,9 @@
 
 namespace pathstack::soak {
 
-/// Each call gets one final answer, in its time, unless its client left or its invoker was killed; an answer
-/// `OK` carries what a host gave. An answer may cross a client's cancel by the slack. Cost: linear in calls
-/// and requests.
+/// Reports each call without exactly one final reply within its time limit, unless its client cancelled or
+/// disconnected or its invoker was killed, and each `OK` reply whose body no host returned. A reply may still
+/// arrive within the slack after a client's cancel. Cost: linear in calls and requests.
 Violations check_answers(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/attempt_rule.cpp
+++ b/tests/soak/judge/attempt_rule.cpp
@@ -12,7 +12,7 @@
   return status == "full" || status == "absent" || status == "moot";
 }
 
-using Attempts = std::vector<const HostRequest*>;  // of one call, in order of arrival
+using Attempts = std::vector<const HostRequest*>;  // of one call, in order of arrival at the hosts
 
 void check_call(const Record& record, const Call& call, const Attempts& attempts, Violations& violations) {
   const auto report = [&](Millis at, const std::string& what) {
@@ -23,18 +23,18 @@
     const Millis slack = record.slack_at(attempt.complete);
     if (static_cast<int>(i) >= record.rules.send_cap) report(attempt.complete, "has too many attempts");
     if (call.abandoned && attempt.complete > *call.abandoned + kAfterLeave + slack) {
-      report(attempt.complete, "attempted after its client had left");
+      report(attempt.complete, "was attempted after its client had cancelled or disconnected");
     }
     const Millis time_left = call.sent + call.time_limit - attempt.first_byte;
     if (attempt.timeout > time_left + kTimeoutTolerance + slack) {
-      report(attempt.complete, "told a host more time than its client has left");
+      report(attempt.complete, "gave a host a longer timeout than its client has left");
     }
     if (i == 0) continue;
     const HostRequest& before = *attempts[i - 1];
     const bool overlaps = !before.ended || *before.ended > attempt.complete + slack;
-    if (overlaps) report(attempt.complete, "has two attempts out");
+    if (overlaps) report(attempt.complete, "has two attempts in flight at once");
     if (call.semantics == Semantics::once && !never_ran(before.reply_status)) {
-      report(attempt.complete, "repeated though it may have run");
+      report(attempt.complete, "was repeated though an earlier attempt may have run");
     }
   }
 }
--- a/tests/soak/judge/drain_rule.cpp
+++ b/tests/soak/judge/drain_rule.cpp
@@ -7,11 +7,11 @@
 
 Millis notice_delay(LogFault fault) {
   constexpr Millis kAfterBreak{2000}, kAfterStop{4000};
-  const bool broke = fault == LogFault::refused || fault == LogFault::reset;
+  const bool broke = fault == LogFault::refused || fault == LogFault::closed;
   return broke ? kAfterBreak : kAfterStop;
 }
 
-// When the outage began for the events that it kept back.
+// The time from which the outage withheld events: for `sequence_only` that of the first withheld event.
 Millis outage_start(const Record& record, const LogOutage& outage) {
   if (outage.fault != LogFault::sequence_only) return outage.from;
   Millis first = outage.to;
@@ -21,23 +21,25 @@
   return first;
 }
 
-// How long an event of this time was on its way.
+// Longest time for which an event of the time `event_at` may have been in transit.
 Millis delivery_delay(const Record& record, Millis event_at) {
-  Millis longest{20};  // on loopback, with turns of three event loops
+  Millis longest{20};  // over loopback, through three event loops
   for (const LogDelay& delay : record.delays) {
     if (delay.from <= event_at && event_at < delay.to) longest = std::max(longest, delay.delay);
   }
   return longest;
 }
 
-// The change that says of the worker what held at `at`; null if none was told by then.
+// The last change of the worker's state before the request, with the time from which the invoker is assumed
+// to know it in `known_at`; null if there was none. A removal after a drain does not count as a change of its
+// own.
 const MembershipChange* last_change_before(const Record& record, const HostRequest& request,
                                            Millis& known_at) {
   const MembershipChange* latest = nullptr;
   for (const MembershipChange& change : record.changes) {
     if (change.worker != request.worker || change.at > request.first_byte) continue;
     const bool same_stay = latest != nullptr && latest->state != MemberState::ready;
-    if (same_stay && change.state != MemberState::ready) continue;  // drained before it went
+    if (same_stay && change.state != MemberState::ready) continue;  // removed after it was drained
     latest = &change;
     known_at = assumed_known_at(record, request.invoker, change.at);
   }
@@ -69,10 +71,11 @@
     if (state == nullptr || state->state == MemberState::ready) continue;
     const Millis limit = known_at + record.rules.drain_grace + record.slack_at(request.first_byte);
     if (request.first_byte <= limit) continue;
-    const char* const what = request.kind == HostRequest::Kind::call ? "call" : "order to load";
+    const char* const what = request.kind == HostRequest::Kind::call ? "call" : "load order";
     violations.push_back({"drain", request.first_byte,
-                          std::string(what) + " of invoker " + std::to_string(request.invoker) + " at " +
-                              request.worker + ", told at " + std::to_string(known_at.count()) + " ms"});
+                          std::string(what) + " from invoker " + std::to_string(request.invoker) + " at " +
+                              request.worker + ", whose drain or removal was known from " +
+                              std::to_string(known_at.count()) + " ms"});
   }
   return violations;
 }
--- a/tests/soak/judge/judge.h
+++ b/tests/soak/judge/judge.h
@@ -1,4 +1,4 @@
-// All rules together.
+/// Runs all rules over the record of a run.
 #pragma once
 
 #include "judge/broken_rule.h"
@@ -6,7 +6,7 @@
 
 namespace pathstack::soak {
 
-/// What the record breaks of the platform's rules, in order of time.
+/// All violations of the platform's rules in the record, ordered by time.
 Violations judge(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/load_budget_rule.cpp
+++ b/tests/soak/judge/load_budget_rule.cpp
@@ -12,7 +12,7 @@
   return request.kind == HostRequest::Kind::load_order && request.instances > 0;
 }
 
-// When the process that ran at `at` was started.
+// Start time of the invoker process that ran at `at`.
 Millis process_start(const Record& record, int invoker, Millis at) {
   Millis start{0};
   for (const ProcessLifetime& lifetime : record.process_lifetimes) {
@@ -43,8 +43,8 @@
     const double budget = rules.load_floor + rules.load_ratio * static_cast<double>(calls);
     if (static_cast<double>(orders) <= budget * kToleranceFactor + kToleranceOrders) continue;
     violations.push_back({"load_budget", at,
-                          std::to_string(orders) + " orders of invoker " + std::to_string(order.invoker) +
-                              " for " + std::to_string(calls) + " calls"});
+                          std::to_string(orders) + " load orders from invoker " +
+                              std::to_string(order.invoker) + " for " + std::to_string(calls) + " calls"});
   }
   return violations;
 }
--- a/tests/soak/judge/outage_service_rule.cpp
+++ b/tests/soak/judge/outage_service_rule.cpp
@@ -7,7 +7,7 @@
 namespace pathstack::soak {
 namespace {
 
-// The span of an outage, or behind it, whose calls count.
+// Span of time, during or after an outage, whose calls are counted.
 struct Span {
   Millis from{0}, to{0};
 };
@@ -33,8 +33,8 @@
                  Violations& violations) {
   if (share.value_or(0) >= min_share) return;
   char what[96];
-  std::snprintf(what, sizeof what, "%.3f of the calls sent %s was served, %.2f is asked for",
-                share.value_or(0), when, min_share);
+  std::snprintf(what, sizeof what, "served share of the calls sent %s is %.3f, below the minimum of %.2f",
+                when, share.value_or(0), min_share);
   violations.push_back({"outage service", at, what, true});
 }
 
--- a/tests/soak/judge/outage_service_rule.h
+++ b/tests/soak/judge/outage_service_rule.h
@@ -1,4 +1,5 @@
-// Service while the membership log is out of reach, and once it is back.
+/// Rule `outage service`: calls are served while the membership log is unreachable and after it has
+/// recovered.
 #pragma once
 
 #include <optional>
@@ -8,15 +9,16 @@
 
 namespace pathstack::soak {
 
-/// Share of the calls served that were sent while their invoker's log was out of reach, from
-/// `OutageService::counted_after` into the outage on; nothing if there were none. Calls whose client left are
-/// left out. Cost: calls x outages.
+/// Served share of the calls sent while their invoker could not reach the membership log, counted from
+/// `OutageService::counted_after` after the start of the outage; nullopt if there were none. Calls that the
+/// client cancelled or abandoned are not counted. Cost: calls x outages.
 std::optional<double> share_served_in_outages(const Record& record);
 
-/// The same of calls sent within a second that begins `OutageService::recovery_time` after an outage's end.
+/// Served share of the calls sent in the second that starts `OutageService::recovery_time` after the end of
+/// an outage; nullopt if there were none. Cost: calls x outages.
 std::optional<double> share_served_after_outages(const Record& record);
 
-/// Both shares reach what the run asks for; nothing is asked where `OutageService::min_served_share` is 0.
+/// Reports each of the two shares that is below `OutageService::min_served_share`; 0 disables the rule.
 Violations check_outage_service(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/process_rule.cpp
+++ b/tests/soak/judge/process_rule.cpp
@@ -14,9 +14,9 @@
     const Millis due = lifetime.started + kReadyWithin;
     const bool was_ended = lifetime.killed || lifetime.terminated;
     const bool late = lifetime.ready ? *lifetime.ready > due : (!was_ended && record.length > due);
-    if (late) report(lifetime, due, "was not ready in time", true);
+    if (late) report(lifetime, due, "was not ready within 10 s", true);
     if (!lifetime.ended || lifetime.killed) continue;
-    if (!lifetime.terminated) report(lifetime, *lifetime.ended, "ended though nobody told it to");
+    if (!lifetime.terminated) report(lifetime, *lifetime.ended, "ended without a signal to end");
     if (lifetime.terminated && lifetime.exit_status != 0)
       report(lifetime, *lifetime.ended, "did not end with status 0");
   }
--- a/tests/soak/judge/resource_rule.cpp
+++ b/tests/soak/judge/resource_rule.cpp
@@ -8,11 +8,11 @@
     const std::string who = "invoker " + std::to_string(sample.invoker);
     if (sample.memory_mb > record.rules.memory_mb) {
       violations.push_back(
-          {"resources", sample.at, who + " takes " + std::to_string(sample.memory_mb) + " MB"});
+          {"resources", sample.at, who + " uses " + std::to_string(sample.memory_mb) + " MB"});
     }
     if (sample.descriptors > record.rules.descriptors) {
       violations.push_back(
-          {"resources", sample.at, who + " holds " + std::to_string(sample.descriptors) + " descriptors"});
+          {"resources", sample.at, who + " has " + std::to_string(sample.descriptors) + " open descriptors"});
     }
   }
   return violations;
--- a/tests/soak/judge/resource_rule.h
+++ b/tests/soak/judge/resource_rule.h
@@ -1,4 +1,4 @@
-// The rule on what a process may use.
+/// Rule `resources`: limits on memory and file descriptors of a process.
 #pragma once
 
 #include "judge/broken_rule.h"
@@ -6,7 +6,7 @@
 
 namespace pathstack::soak {
 
-/// No process goes over its limits of memory and descriptors. Cost: linear in the samples.
+/// Reports each sample of a process above its memory or descriptor limit. Cost: linear in the samples.
 Violations check_resources(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge/service_rule.cpp
+++ b/tests/soak/judge/service_rule.cpp
@@ -37,10 +37,10 @@
     const bool enough = windows[i].calls >= kMinCalls;
     if (!enough || !is_below(windows[i], record.rules.min_served_share_per_second)) continue;
     const Millis at(static_cast<double>(i) * 1000);
-    violations.push_back({"share of service", at, describe_share(windows[i]) + " in a second", true});
+    violations.push_back({"share of service", at, describe_share(windows[i]) + " in one second", true});
   }
   if (!is_below(all, record.rules.min_served_share)) return;
-  violations.push_back({"share of service", record.length, describe_share(all) + " in all", true});
+  violations.push_back({"share of service", record.length, describe_share(all) + " in the whole run", true});
 }
 
 }  // namespace
@@ -54,8 +54,9 @@
     const int served = windows[i - 1].served + windows[i].served;
     if (calls < kMinCalls || served > 0) continue;
     const Millis at(static_cast<double>(i) * 1000);
-    violations.push_back(
-        {"service", at, "none of " + std::to_string(calls) + " calls in two seconds was served", true});
+    violations.push_back({"service", at,
+                          "none of " + std::to_string(calls) + " calls in two consecutive seconds was served",
+                          true});
   }
   return violations;
 }
--- a/tests/soak/judge/service_rule.h
+++ b/tests/soak/judge/service_rule.h
@@ -1,4 +1,4 @@
-// Service goes on: no rule may be kept by refusing everything.
+/// Rules `service` and `share of service`: an invoker must not satisfy the other rules by refusing all calls.
 #pragma once
 
 #include "judge/broken_rule.h"
@@ -6,18 +6,18 @@
 
 namespace pathstack::soak {
 
-/// Calls of one second of the run and how many of them were served.
+/// Number of calls in one second of the run, and of those served.
 struct ServedWindow {
   int calls = 0, served = 0;
 };
 
-/// One entry a second, by the time of sending. Calls whose client left and those of a killed process are left
-/// out. Cost: linear in the calls.
+/// One entry per second of the run, by the time at which calls were sent. Calls that the client cancelled or
+/// abandoned are not counted. Cost: linear in the calls.
 std::vector<ServedWindow> served_by_second(const Record& record);
 
-/// Two seconds in a row with calls enough, none of them served, are a break: each schedule leaves a worker
-/// that may lawfully be used, and an invoker that runs. So is a share under what the run asks for, in all or
-/// in a second with calls enough.
+/// Reports two consecutive seconds with at least 20 calls of which none was served: every schedule leaves a
+/// worker that the rules allow to be used, and a running invoker. Also reports a served share below the
+/// minimum of the run, over the whole run or in a second with at least 20 calls.
 Violations check_service(const Record& record);
 
 }  // namespace pathstack::soak
--- a/tests/soak/judge_test.cpp
+++ b/tests/soak/judge_test.cpp
@@ -1,4 +1,4 @@
-// Each rule of the judge is given a record with one break, and one without.
+// Tests of each rule of the judge, on records with one violation and on records without.
 #include "judge/judge.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 namespace pathstack::soak {
 namespace {
 
-// One call, served by one attempt.
+// A call that one attempt served, without any violation.
 Record valid_record() {
   Record record;
   record.length = Millis(20000);
@@ -52,32 +52,32 @@
 
 }  // namespace
 
-TEST_CASE("a sound record breaks no rule") { CHECK(judge(valid_record()).empty()); }
+TEST_CASE("a valid record has no violations") { CHECK(judge(valid_record()).empty()); }
 
-TEST_CASE("the time at which an event counts as told follows the pages' clocks") {
+TEST_CASE("the time from which an event counts as known follows the platform's rules") {
   Record record;
-  SECTION("at once while the log is in reach") {
+  SECTION("at once while the log is reachable") {
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(700));
   }
-  SECTION("2 s after a break") {
-    const auto fault = GENERATE(LogFault::refused, LogFault::reset);
+  SECTION("2 s after the connection was closed or refused") {
+    const auto fault = GENERATE(LogFault::refused, LogFault::closed);
     record.outages = {{0, fault, Millis(500), Millis(9000)}};
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(2500));
     CHECK(assumed_known_at(record, 1, Millis(700)) == Millis(700));
   }
-  SECTION("4 s after a stop or a move, but not before the event itself") {
+  SECTION("4 s after the log went silent or moved, but not before the event itself") {
     const auto fault = GENERATE(LogFault::silent, LogFault::truncated, LogFault::moved);
     record.outages = {{0, fault, Millis(500), Millis(9000)}};
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(4500));
     CHECK(assumed_known_at(record, 0, Millis(6000)) == Millis(6000));
   }
-  SECTION("4 s after the first event that a log which tells numbers alone has kept back") {
+  SECTION("4 s after the first withheld event if the log sends sequence numbers only") {
     record.outages = {{0, LogFault::sequence_only, Millis(500), Millis(9000)}};
     record.changes = {{Millis(100), "s-1", MemberState::ready}, {Millis(2000), "s-1", MemberState::draining}};
     CHECK(assumed_known_at(record, 0, Millis(2000)) == Millis(6000));
     CHECK(assumed_known_at(record, 0, Millis(7000)) == Millis(7000));
   }
-  SECTION("an event that was on its way when the connection broke") {
+  SECTION("an event that was in transit when the connection closed") {
     record.outages = {{0, LogFault::refused, Millis(800), Millis(9000)}};
     CHECK(assumed_known_at(record, 0, Millis(790)) == Millis(2800));
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(700));
@@ -85,14 +85,14 @@
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(2800));
     CHECK(assumed_known_at(record, 0, Millis(640)) == Millis(640));
   }
-  SECTION("as soon as the invoker's next question has reached the log") {
+  SECTION("as soon as the invoker's next request reaches the log") {
     record.outages = {{0, LogFault::silent, Millis(500), Millis(1000)}};
     record.log_queries = {{0, Millis(600)}, {0, Millis(1200)}, {1, Millis(800)}};
     CHECK(assumed_known_at(record, 0, Millis(700)) == Millis(1200));
   }
 }
 
-TEST_CASE("a call or a load order past the grace after a drain was told is named") {
+TEST_CASE("a call or a load order after the grace period of a known drain is reported") {
   Record record = valid_record();
   record.changes = {{Millis(0), "s-1", MemberState::ready}, {Millis(4600), "s-1", MemberState::draining}};
   SECTION("a call") { check_only_rule(judge(record), "drain"); }
@@ -100,19 +100,19 @@
     record.changes[1].state = MemberState::gone;
     check_only_rule(judge(record), "drain");
   }
-  SECTION("the removal after a drain begins no new grace") {
+  SECTION("a removal after a drain starts no new grace period") {
     record.changes.push_back({Millis(4990), "s-1", MemberState::gone});
     check_only_rule(judge(record), "drain");
   }
-  SECTION("within the grace and the slack") {
+  SECTION("within the grace period and the slack") {
     record.changes[1].at = Millis(4720);
     CHECK(judge(record).empty());
   }
-  SECTION("back by then") {
+  SECTION("ready again by then") {
     record.changes.push_back({Millis(5000), "s-1", MemberState::ready});
     CHECK(judge(record).empty());
   }
-  SECTION("an order to load, but not one that only asks") {
+  SECTION("a load order, but not a query of 0 instances") {
     record.requests[0].first_byte = record.requests[0].complete = Millis(4600);
     record.requests[0].timeout = Millis(900);
     record.requests.push_back(load_order(Millis(5000), 0));
@@ -122,19 +122,19 @@
   }
 }
 
-TEST_CASE("a call without one whole answer in its time is named") {
+TEST_CASE("a call without exactly one valid reply in time is reported") {
   Record record = valid_record();
   Call& call = record.calls[0];
   SECTION("none") { call.replies.clear(); }
   SECTION("two") { call.replies.push_back(call.replies[0]); }
   SECTION("late") { call.replies[0].at = Millis(6100); }
-  SECTION("after the client left") { call.abandoned = Millis(5030); }
-  SECTION("with what no host made") { call.replies[0].body = "b2"; }
-  SECTION("served though no host served it") { record.requests[0].reply_status = "full"; }
+  SECTION("after the client had cancelled") { call.abandoned = Millis(5030); }
+  SECTION("with a body that no host returned") { call.replies[0].body = "b2"; }
+  SECTION("OK although no host served the call") { record.requests[0].reply_status = "full"; }
   check_only_rule(check_answers(record), "answer");
 }
 
-TEST_CASE("a call whose process was killed is owed no answer") {
+TEST_CASE("a call whose process was killed needs no reply") {
   Record record = valid_record();
   record.calls[0].replies.clear();
   ProcessLifetime lifetime;
@@ -143,27 +143,27 @@
   record.process_lifetimes.push_back(lifetime);
   CHECK(judge(record).empty());
   record.process_lifetimes[0].killed = Millis(4990);
-  CHECK(judge(record).empty());  // it was sent to a process that was dead already
+  CHECK(judge(record).empty());  // the call was sent after the process had been killed
   record.process_lifetimes[0].ended = Millis(4995);
-  CHECK(judge(record).empty());  // and whose end was known a moment before that of the connection
+  CHECK(judge(record).empty());  // the process ended just before the client saw the close
   record.process_lifetimes[0].killed = record.process_lifetimes[0].ended = Millis(4000);
   check_only_rule(check_answers(record), "answer");
 }
 
-TEST_CASE("attempts that the rules forbid are named") {
+TEST_CASE("attempts that the rules forbid are reported") {
   Record record = valid_record();
   HostRequest second = record.requests[0];
   second.first_byte = second.complete = Millis(5200);
   second.timeout = Millis(500);
   second.ended = Millis(5250);
-  SECTION("after the client left") { record.calls[0].abandoned = Millis(4800); }
-  SECTION("with more time than the client has") { record.requests[0].timeout = Millis(1300); }
-  SECTION("of a class that may run once, after one that may have run") {
+  SECTION("after the client had cancelled") { record.calls[0].abandoned = Millis(4800); }
+  SECTION("with a longer timeout than the client has left") { record.requests[0].timeout = Millis(1300); }
+  SECTION("of a class that may run once, after an attempt that may have run") {
     record.calls[0].semantics = Semantics::once;
     record.requests[0].reply_status = "failed";
     record.requests.push_back(second);
   }
-  SECTION("two at once") {
+  SECTION("two in flight at once") {
     record.requests[0].ended.reset();
     record.requests.push_back(second);
   }
@@ -174,7 +174,7 @@
   check_only_rule(check_attempts(record), "attempt");
 }
 
-TEST_CASE("attempts one after the other, and one that never ran, are sound") {
+TEST_CASE("sequential attempts, the first of which never ran, are allowed") {
   Record record = valid_record();
   record.calls[0].semantics = Semantics::once;
   HostRequest second = record.requests[0];
@@ -185,9 +185,9 @@
   CHECK(check_attempts(record).empty());
 }
 
-TEST_CASE("load orders over the budget are named") {
+TEST_CASE("load orders over the budget are reported") {
   Record record = valid_record();
-  // A floor of 3 and 0.15 of one call, 15 in 100 more and one order: four are allowed.
+  // The budget is a floor of 3 plus 0.15 for one call; with 15% and one order more, four are allowed.
   for (int i = 0; i < 4; ++i) record.requests.push_back(load_order(Millis(5000 + i), 1));
   CHECK(check_load_budget(record).empty());
   record.requests.push_back(load_order(Millis(5010), 0));
@@ -196,11 +196,12 @@
   check_only_rule(check_load_budget(record), "load_budget");
   ProcessLifetime second;
   second.started = Millis(5002);
-  record.process_lifetimes = {ProcessLifetime(), second};  // three of the orders are another process's
+  record.process_lifetimes = {ProcessLifetime(),
+                              second};  // three of the orders belong to the earlier process
   CHECK(check_load_budget(record).empty());
 }
 
-TEST_CASE("processes that crash, end badly or are not ready in time are named") {
+TEST_CASE("processes that crash, exit with an error or are not ready in time are reported") {
   Record record = valid_record();
   ProcessLifetime lifetime;
   lifetime.ready = Millis(100);
@@ -216,14 +217,14 @@
   check_only_rule(check_processes(record), "process");
 }
 
-TEST_CASE("a process over its limits is named") {
+TEST_CASE("a process over its limits is reported") {
   Record record = valid_record();
   SECTION("memory") { record.samples.push_back({0, Millis(100), 129, 10}); }
   SECTION("descriptors") { record.samples.push_back({0, Millis(100), 10, 513}); }
   check_only_rule(check_resources(record), "resources");
 }
 
-TEST_CASE("two seconds with calls of which none is served are named") {
+TEST_CASE("two seconds with calls of which none is served are reported") {
   Record record = valid_record();
   for (int i = 0; i < 20; ++i) {
     Call call;
@@ -236,14 +237,14 @@
   check_only_rule(check_service(record), "service");
 }
 
-TEST_CASE("what a stall of the recorder may have made late is not held against the invoker") {
+TEST_CASE("lateness that a stall of the recorder may have caused is not reported") {
   Record record = valid_record();
   record.changes = {{Millis(0), "s-1", MemberState::ready}, {Millis(4600), "s-1", MemberState::draining}};
   record.stalls.push_back({Millis(4800), Millis(5005)});
   CHECK(check_drains(record).empty());
 }
 
-TEST_CASE("calls refused while the log is out of reach, or after its return, break the rule on service") {
+TEST_CASE("calls refused during an outage of the log or after it violate the rule on service") {
   Record record;
   record.length = Millis(30000);
   record.rules.outage.min_served_share = 0.9;
@@ -257,20 +258,21 @@
     record.calls.push_back(call);
   }
   const Violations violations = check_outage_service(record);
-  // Before the outage counts, in it (0.909 still served), within the time to restart, past it, long after.
-  const bool is_break = refused_from == Millis(12600);
-  CHECK(violations.empty() == !is_break);
-  if (is_break) check_only_rule(violations, "outage service");
+  // The refusals come before the outage counts, during it (0.909 still served), within the recovery time,
+  // directly after the recovery time, and long after.
+  const bool is_violation = refused_from == Millis(12600);
+  CHECK(violations.empty() == !is_violation);
+  if (is_violation) check_only_rule(violations, "outage service");
   const double in_outage = refused_from == Millis(7000) ? 100.0 / 110 : 1;
   CHECK(share_served_in_outages(record).value() == Approx(in_outage));
   record.rules.outage.min_served_share = 0.95;
-  CHECK(check_outage_service(record).empty() == (!is_break && refused_from != Millis(7000)));
+  CHECK(check_outage_service(record).empty() == (!is_violation && refused_from != Millis(7000)));
 }
 
-TEST_CASE("a share of service under what the run asks for is a break, in a second or in all") {
+TEST_CASE("a served share below the minimum is reported, for a second or the whole run") {
   Record record;
   record.length = Millis(10000);
-  const auto refused_every = GENERATE(0, 25, 1000);  // calls; 1000: 12 at once
+  const auto refused_every = GENERATE(0, 25, 1000);  // one call in this many; 1000: 12 consecutive calls
   for (int i = 0; i < 1000; ++i) {
     Call call;
     call.sent = Millis(i * 10.0);
@@ -279,7 +281,7 @@
     call.replies.push_back({call.sent + Millis(5), refused ? "BUSY" : "OK", ""});
     record.calls.push_back(call);
   }
-  CHECK(check_service(record).empty());  // nothing is asked
+  CHECK(check_service(record).empty());  // no minimum is set
   record.rules.min_served_share = 0.97;
   record.rules.min_served_share_per_second = 0.9;
   const Violations violations = check_service(record);
--- a/tests/soak/listener.h
+++ b/tests/soak/listener.h
@@ -1,4 +1,4 @@
-// A listening socket of a stand-in.
+/// Listening socket of a simulated peer.
 #pragma once
 
 #include <poll.h>
@@ -13,13 +13,13 @@
 
 namespace pathstack::soak {
 
-/// Accepts connections on an address that stays the same while it is closed and opened again. Destroyed
-/// before the loop.
+/// Accepts connections on an address that stays the same when the listener is closed and reopened. Must be
+/// destroyed before the loop.
 class Listener final : public net::Handler {
  public:
   using OnAccept = std::function<void(net::Socket)>;
 
-  /// Opens a port that the kernel chooses on 127.0.0.1. Throws std::runtime_error if there is none.
+  /// Listens on 127.0.0.1, on a port chosen by the kernel. Throws std::runtime_error if that fails.
   Listener(net::Loop& loop, OnAccept on_accept) : loop_(loop), on_accept_(std::move(on_accept)) {
     open("127.0.0.1:0");
     address_ = net::bound_address(socket_);
@@ -30,13 +30,13 @@
 
   const std::string& address() const { return address_; }
 
-  /// Connections are refused from now on.
+  /// Refuses connections until `reopen`.
   void close() {
     if (!socket_) return;
     loop_.unwatch(socket_.fd(), *this);
     socket_.close();
   }
-  /// Takes connections again; no effect if it does.
+  /// Listens again on the same address; no effect if open. Throws std::runtime_error if that fails.
   void reopen() {
     if (!socket_) open(address_);
   }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,5 +1,5 @@
-// The soak: plays schedules of faults against real processes, and judges what was seen by the platform's
-// rules.
+// The soak test: plays schedules of faults against real invoker processes and checks the records of the runs
+// against the platform's rules.
 #include <stdlib.h>
 
 #include <CLI/CLI.hpp>
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr int kUsageError = 2;
-constexpr std::size_t kMaxPrinted = 12;  // broken rules of one seed
+constexpr std::size_t kMaxPrinted = 12;  // violations printed per schedule
 volatile bool stop_requested = false;
 
 extern "C" void request_stop(int) { stop_requested = true; }
@@ -45,14 +45,14 @@
 struct ScheduleResult {
   std::string name;
   std::size_t calls = 0, served = 0;
-  int worst_second = 100;  // lowest share served of a second with calls enough, in percent
+  int worst_second = 100;  // lowest served share of a second with enough calls, in percent
   Millis longest_stall{0};
-  std::optional<double> share_in_outages, share_after_outages;  // served
+  std::optional<double> share_in_outages, share_after_outages;  // of calls served
   Violations violations;
-  std::string error;  // the schedule could not be played
+  std::string error;  // set if the schedule could not be played
 };
 
-// Removed with its owner, unless the logs are kept.
+// Folder for the files of one run. Removed by the destructor, unless the logs are to be kept.
 class WorkFolder {
  public:
   WorkFolder(const std::string& keep, const std::string& name) : kept_(!keep.empty()) {
@@ -62,7 +62,7 @@
       return;
     }
     std::string pattern = std::filesystem::temp_directory_path().string() + "/pathstack-soak-XXXXXX";
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot make a temporary folder");
+    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
     path_ = pattern;
   }
   ~WorkFolder() {
@@ -117,13 +117,14 @@
   const double share =
       result.calls == 0 ? 0 : 100.0 * static_cast<double>(result.served) / static_cast<double>(result.calls);
   std::printf(
-      "%-28s calls %6zu  served %5.1f%%  worst second %3d%%  recorder's longest stall %3.0f ms  broken "
+      "%-28s calls %6zu  served %5.1f%%  worst second %3d%%  recorder's longest stall %3.0f ms  violations "
       "%zu%s%s\n",
       result.name.c_str(), result.calls, share, result.worst_second, result.longest_stall.count(),
       result.violations.size(), result.error.empty() ? "" : "  ERROR ", result.error.c_str());
   if (result.share_in_outages) {
-    std::printf("    served in outages, from 4.5 s on: %.3f; in the second from 0.5 s after them on: %.3f\n",
-                *result.share_in_outages, result.share_after_outages.value_or(0));
+    std::printf(
+        "    served share in outages, after 4.5 s: %.3f; in the second that starts 0.5 s after them: %.3f\n",
+        *result.share_in_outages, result.share_after_outages.value_or(0));
   }
   std::map<std::string, std::size_t> by_rule;
   for (const Violation& violation : result.violations) ++by_rule[violation.rule];
@@ -159,7 +160,7 @@
   });
 }
 
-// N, or A-B.
+// Parses `N` or `A-B`; nullopt for any other text.
 std::optional<std::pair<std::uint64_t, std::uint64_t>> seed_range(const std::string& text) {
   std::smatch match;
   if (!std::regex_match(text, match, std::regex("([0-9]{1,9})(-([0-9]{1,9}))?"))) return std::nullopt;
@@ -181,12 +182,12 @@
   return kinds;
 }
 
-// Nothing, and the fault named on standard error, if the options cannot be used.
+// The schedules that the options select. Reports invalid options on standard error and returns nullopt.
 std::optional<std::vector<Schedule>> schedules_of(const Options& options) {
   if (!options.schedule.empty()) {
     const auto schedule = named_schedule(options.schedule);
     if (!schedule) {
-      std::cerr << "soak: no schedule is called " << options.schedule << "; there are";
+      std::cerr << "soak: unknown schedule " << options.schedule << "; known schedules:";
       for (const std::string& name : schedule_names()) std::cerr << ' ' << name;
       std::cerr << '\n';
       return std::nullopt;
@@ -195,8 +196,8 @@
   }
   const auto seeds = seed_range(options.seeds);
   const auto kinds = read_kinds(options.kinds);
-  if (!seeds) std::cerr << "soak: --seeds takes N or A-B, not " << options.seeds << '\n';
-  if (!kinds) std::cerr << "soak: --kind takes kinds joined by +, not " << options.kinds << '\n';
+  if (!seeds) std::cerr << "soak: --seeds must be N or A-B, not " << options.seeds << '\n';
+  if (!kinds) std::cerr << "soak: --kind must be kinds joined by +, not " << options.kinds << '\n';
   if (!seeds || !kinds) return std::nullopt;
   GeneratorOptions generator;
   generator.length = Millis(options.seconds * 1000);
@@ -238,21 +239,25 @@
 int main(int argc, char** argv) {
   using namespace pathstack::soak;
   Options options;
-  CLI::App app("Plays schedules of faults against real invokers and judges what was seen.");
+  CLI::App app(
+      "Plays schedules of faults against real invokers and checks their behaviour against the rules.");
   app.add_option("--seed,--seeds", options.seeds, "seed N, or seeds A-B");
-  app.add_option("--seconds", options.seconds, "length of each drawn schedule")->check(CLI::Range(2, 600));
-  app.add_option("--invokers", options.invokers, "processes; else drawn")->check(CLI::Range(1, 50));
-  app.add_option("--hosts", options.hosts, "stand-in workers; else drawn")->check(CLI::Range(4, 60));
+  app.add_option("--seconds", options.seconds, "length of each generated schedule")
+      ->check(CLI::Range(2, 600));
+  app.add_option("--invokers", options.invokers, "number of invoker processes; default: drawn from the seed")
+      ->check(CLI::Range(1, 50));
+  app.add_option("--hosts", options.hosts, "number of simulated workers; default: drawn from the seed")
+      ->check(CLI::Range(4, 60));
   app.add_option("--kind", options.kinds, "discovery, drains, hosts, signals, clients, machine; joined by +");
-  app.add_option("--schedule", options.schedule, "a schedule with a name, in place of seeds");
+  app.add_option("--schedule", options.schedule, "name of a predefined schedule, instead of seeds");
   app.add_option("--keep-logs", options.keep_logs, "folder for the invokers' logs");
-  app.add_option("--json", options.json_path, "file for the report");
-  app.add_option("--program", options.program, "the invoker to test");
+  app.add_option("--json", options.json_path, "file for the JSON report");
+  app.add_option("--program", options.program, "the invoker program to test");
   app.add_option("--second-program", options.second_program,
                  "a second invoker program, run by every other process, to test two builds side by side");
   app.add_flag("--busy-machine", options.busy_machine,
-               "print breaks that a busy machine could cause, without failing the schedule");
-  app.add_flag("--dry-run", options.dry_run, "print the schedules and play none");
+               "report violations that an overloaded machine can cause without failing the schedule");
+  app.add_flag("--dry-run", options.dry_run, "print the schedules without playing them");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) { return app.exit(error) == 0 ? 0 : kUsageError; }
--- a/tests/soak/membership_log.cpp
+++ b/tests/soak/membership_log.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-// A connection of an invoker, by way of its proxy.
+// A connection of an invoker, through its fault proxy.
 class MembershipLog::Peer final : public net::Stream {
  public:
   Peer(MembershipLog& log, int invoker, net::Socket socket)
@@ -80,7 +80,7 @@
 void MembershipLog::set_sequence_only(int invoker, bool only) {
   Endpoint& endpoint = endpoints_.at(invoker);
   endpoint.sequence_only = only;
-  // What was kept back is asked for anew.
+  // Closing the connections makes the invoker request the withheld events.
   for (const auto& peer : endpoint.peers) {
     if (!only) peer->end_later();
   }
--- a/tests/soak/membership_log.h
+++ b/tests/soak/membership_log.h
@@ -1,4 +1,4 @@
-// A stand-in for the membership log.
+/// A simulated membership log.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,16 @@
 
 namespace pathstack::soak {
 
-/// One row of an event.
+/// One member of an event.
 struct MemberRow {
   std::string worker, zone;
   MemberState state = MemberState::ready;
-  double started_unix_ms = 0;  // of a late start
+  double started_unix_ms = 0;  // start time of a restarted worker; 0: since the start of the run
 };
 
-/// The log of all events. Always well itself: faults lie in the proxies in front of it. Every invoker is
-/// given addresses of its own for the workers, and asks at an address of its own.
+/// Stores all events and sends them to the invokers. Connection faults are simulated by the proxies in front
+/// of the log. Each invoker has its own address of the log and its own addresses of the workers. Must be
+/// destroyed before the loop.
 class MembershipLog {
  public:
   /// Address of a worker as invoker `invoker` reaches it.
@@ -37,19 +38,20 @@
   MembershipLog(const MembershipLog&) = delete;
   MembershipLog& operator=(const MembershipLog&) = delete;
 
-  /// Where invoker `invoker` asks; the fault proxy stands in front.
+  /// Address for invoker `invoker`, which reaches it through a fault proxy.
   const std::string& address(int invoker) const;
-  /// Adds an event, in force at once for everybody who is connected. The first one is the complete list.
+  /// Appends an event and sends it to all connected invokers. The first event is the complete list.
   void append(std::vector<MemberRow> rows);
-  /// Tells invoker `invoker` the number of the last event alone, and no event, from now on or no more.
+  /// While `only` is set, invoker `invoker` gets the sequence number of the last event and no events.
+  /// Clearing it closes the invoker's connections, so that it requests the withheld events.
   void set_sequence_only(int invoker, bool only);
-  /// Writes each event twice, from now on or no more.
+  /// Whether each event is sent twice.
   void repeat_events(bool duplicate) { writes_ = duplicate ? 2 : 1; }
-  /// Each second's number is written as an object, or as a number.
+  /// Whether the sequence number, sent each second, is an object `{"seq":N}` or a plain number.
   void set_sequence_as_object(bool as_objects) { sequence_as_object_ = as_objects; }
-  /// Who asks is told the last number at once, behind the events, as the platform's log does.
+  /// Whether the reply to a request ends with the sequence number, as that of the platform's log does.
   void set_sequence_after_request(bool at_once) { sequence_after_request_ = at_once; }
-  /// The configuration's `known`, as invoker `invoker` is given it.
+  /// Value of `known` in the configuration of invoker `invoker`: all events so far.
   nlohmann::json known(int invoker) const;
 
  private:
@@ -67,7 +69,7 @@
   AddressOf address_of_;
   std::vector<std::vector<MemberRow>> events_;
   std::map<int, Endpoint> endpoints_;
-  int writes_ = 1;  // of each event
+  int writes_ = 1;  // number of times that each event is sent
   bool sequence_as_object_ = true;
   bool sequence_after_request_ = false;
   net::Loop::TimerId sequence_timer_;
--- a/tests/soak/record.h
+++ b/tests/soak/record.h
@@ -1,4 +1,5 @@
-// What clients, hosts and the membership log saw in one run. The judge reads this and nothing else.
+/// Record of one run as seen by the clients, the worker hosts and the membership log: the only input of the
+/// judge.
 #pragma once
 
 #include <cstddef>
@@ -11,117 +12,122 @@
 
 namespace pathstack::soak {
 
-/// May a call run again? As the platform's settings name it.
+/// Whether a call may be run again, as in the platform's settings: always, with an idempotency key, or never.
 enum class Semantics { repeatable, keyed, once };
 
+/// State of a worker in the membership log.
 enum class MemberState { ready, draining, gone };
 
-/// The limits of the platform's rules in one run.
-/// What a run asks of service while the membership log is out of reach.
+/// Minimum service while the membership log is unreachable.
 struct OutageService {
-  double min_served_share = 0;  // of calls served, in the outage and after it; 0: nothing is asked
-  Millis counted_after{4500};   // into the outage: by then all that it keeps back counts as told at once
-  Millis recovery_time{500};    // of the log's return
+  double min_served_share = 0;  // in the outage and after it; 0: no minimum
+  Millis counted_after{4500};   // from the outage's start; later events count as known at once
+  Millis recovery_time{500};    // from the outage's end
 };
 
+/// Limits of the platform's rules in one run.
 struct RuleSettings {
   Millis drain_grace{250};
-  Millis slack{50};  // the page on sockets lengthens each time limit by so much
+  Millis slack{50};  // added to each time limit, by the rules for deployments over sockets
   Millis reply_grace{8};
   int send_cap = 4;
   double load_floor = 3, load_ratio = 0.15;
   Millis load_window{5000};
   double memory_mb = 128;
   std::size_t descriptors = 512;
-  double min_served_share = 0;             // of calls served in the run; 0: nothing is asked
-  double min_served_share_per_second = 0;  // the same of each second
+  double min_served_share = 0;             // over the whole run; 0: no minimum
+  double min_served_share_per_second = 0;  // of each second; 0: no minimum
   OutageService outage;
 };
 
-/// An event of the membership log, at the time at which it is in the log.
+/// A change of a worker's state, at the time at which the membership log contains it.
 struct MembershipChange {
   Millis at{0};
   std::string worker;
   MemberState state = MemberState::ready;
 };
 
-/// How the membership log is out of an invoker's reach.
+/// How an invoker loses the membership log.
 enum class LogFault {
-  refused,       // connections break, new ones are refused
-  silent,        // open connections stay open, new ones are accepted; nothing passes
-  truncated,     // as `silent`, after half of the next line
-  moved,         // a new configuration names another address
-  reset,         // connections break, new ones are accepted and stay silent
-  sequence_only  // only the number of the last event is told
+  refused,       // connections are closed, new ones are refused
+  silent,        // connections stay open and new ones are accepted, but no data passes
+  truncated,     // half of the next line is sent, then as `silent`
+  moved,         // a new configuration gives another address
+  closed,        // connections are closed; new ones are accepted and stay silent
+  sequence_only  // only the sequence number of the last event is sent
 };
 
+/// A time in which one invoker could not read the membership log.
 struct LogOutage {
   int invoker = 0;
   LogFault fault = LogFault::refused;
   Millis from{0}, to{0};
 };
 
-/// A time in which the log's bytes took so much longer on their way to every invoker.
+/// A time in which the log's data reached every invoker later by `delay`.
 struct LogDelay {
   Millis from{0}, to{0}, delay{0};
 };
 
-/// A `since N` line that reached the log.
+/// A request (`since N`) that reached the membership log.
 struct LogQuery {
   int invoker = 0;
   Millis at{0};
 };
 
-/// A call or an order to load as the host received it.
+/// A call or a load order as a worker host received it.
 struct HostRequest {
   enum class Kind { call, load_order };
   Kind kind = Kind::call;
   int invoker = 0;
   std::string worker;
-  std::string ref;    // of a call
-  int instances = 0;  // of an order
-  Millis timeout{0};  // of a call: the time that the invoker says it waits
+  std::string ref;    // calls only
+  int instances = 0;  // load orders only; 0: a query
+  Millis timeout{0};  // calls only: how long the invoker says that it waits
   Millis first_byte{0}, complete{0};
-  std::string reply_status;     // the word; empty: none
-  std::optional<Millis> ended;  // answered, dropped, or its connection closed
+  std::string reply_status;     // as sent, such as `data`; empty: no reply
+  std::optional<Millis> ended;  // replied to, cancelled, or connection closed
 };
 
+/// A final reply as a client received it.
 struct ClientReply {
   Millis at{0};
   std::string status, body;
 };
 
+/// A call as its client saw it.
 struct Call {
   std::string ref;
   int invoker = 0;
   Semantics semantics = Semantics::repeatable;
   Millis sent{0}, time_limit{0};
-  std::optional<Millis> abandoned;        // cancelled, or the client closed the connection
+  std::optional<Millis> abandoned;        // cancelled by the client, or the client disconnected
   std::optional<Millis> connection_lost;  // the invoker closed the connection first
   std::vector<ClientReply> replies;
 };
 
-/// One process of an invoker, from its start to its end.
+/// One invoker process. `terminated` and `killed` are the times of SIGTERM and SIGKILL.
 struct ProcessLifetime {
   int invoker = 0;
   Millis started{0};
   std::optional<Millis> ready, terminated, killed, ended;
-  std::optional<int> exit_status;  // none if a signal ended it
+  std::optional<int> exit_status;  // nullopt if a signal ended the process
 };
 
-/// A time in which the recording process itself did not run: what it saw then may be older than it says.
+/// A time in which the recording process itself did not run: times recorded at its end may be too late.
 struct Stall {
   Millis from{0}, to{0};
 };
 
-/// What a process used at one moment.
+/// Resource usage of a process at one time.
 struct ResourceSample {
   int invoker = 0;
   Millis at{0};
-  double memory_mb = 0;  // the peak so far; 0 where the build inflates it
+  double memory_mb = 0;  // peak so far; 0 if unknown or inflated by a sanitizer
   std::size_t descriptors = 0;
 };
 
+/// All that was recorded in one run. Times count from the start of the run.
 struct Record {
   RuleSettings rules;
   std::vector<MembershipChange> changes;
@@ -135,7 +141,7 @@
   std::vector<ResourceSample> samples;
   Millis length{0};
 
-  /// The pages' slack, and the longest stall of the recorder in the second before `at`.
+  /// Slack of the rules plus the longest stall of the recorder in the second before `at`.
   Millis slack_at(Millis at) const {
     Millis longest{0};
     for (const Stall& stall : stalls) {
--- a/tests/soak/run.cpp
+++ b/tests/soak/run.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis kReadyWithin{20000};
 constexpr Millis kHeartbeat{2};
-constexpr Millis kStallThreshold{12};  // a heartbeat so late is a stall of the recorder
+constexpr Millis kStallThreshold{12};  // a longer time between heartbeats is a stall of the recorder
 constexpr std::size_t kBuffers = 16384;
 
 class Run {
@@ -37,7 +37,7 @@
     const bool ready = run_until(kReadyWithin, [this] {
       return std::all_of(slots_.begin(), slots_.end(), [](const auto& slot) { return slot->is_ready(); });
     });
-    if (!ready && !stop_) throw std::runtime_error("an invoker was not ready in 20 s");
+    if (!ready && !stop_) throw std::runtime_error("an invoker was not ready within 20 s");
     heartbeat();
     const Millis began = now();
     for (const auto& slot : slots_) slot->begin_traffic();
@@ -68,7 +68,7 @@
 
   Millis now() const { return loop_.now() - started_; }
 
-  // Notes the times in which this process did not run.
+  // Records the times in which this process did not run.
   void heartbeat() {
     const Millis at = now();
     const bool stalled = last_heartbeat_.count() > 0 && at - last_heartbeat_ > kStallThreshold;
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -8,15 +8,16 @@
 namespace pathstack::soak {
 namespace {
 
-// Within the drain grace: past it an invoker could not keep the rule by any means.
+// Less than the drain grace period: with a longer delay no invoker could obey the drain rule.
 constexpr double kMaxLogDelayMs = 180;
-constexpr double kMinOutageMs = 200, kMaxOutageMs = 20000;  // ms
+constexpr double kMinOutageMs = 200, kMaxOutageMs = 20000;
 
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// At least `min`, below `max`. Written out, as the standard's distributions differ between libraries.
+  /// In [min, max). Does not use std::uniform_real_distribution, whose values differ between standard
+  /// libraries.
   double real(double min, double max) {
     return min + (max - min) * (static_cast<double>(engine_() >> 11) * 0x1p-53);
   }
@@ -51,8 +52,8 @@
   return d;
 }
 
-// Drains and crashes befall the first half of the hosts, faults the second without the last one: so a worker
-// that may be used is always left.
+// Drains and crashes hit the first half of the hosts, other faults the second half except its last host, so
+// that one usable worker always remains.
 int drainable_host(RandomSource& random, const Deployment& d) { return random.integer(0, d.hosts / 2 - 1); }
 int faulty_host(RandomSource& random, const Deployment& d) {
   return random.integer(d.hosts / 2, d.hosts - 2);
@@ -71,10 +72,10 @@
 void generate_discovery(RandomSource& random, const GeneratorOptions& options, const Deployment& d,
                         bool with_drains, std::vector<TimedFault>& faults) {
   constexpr std::array<LogFault, 5> kFaults{LogFault::refused, LogFault::silent, LogFault::truncated,
-                                            LogFault::reset, LogFault::sequence_only};
+                                            LogFault::closed, LogFault::sequence_only};
   for (Millis at = random.duration(500, 3000); at < options.length - Millis(1500);) {
     const double longest = std::min(kMaxOutageMs, (options.length - at).count());
-    // Short ones as often as long ones.
+    // Squared, so that short outages are as frequent as long ones.
     const double share = random.real(0, 1);
     LogOutageFault outage;
     outage.invoker = random.one_in(3) ? random.integer(0, d.invokers - 1) : -1;
@@ -185,12 +186,12 @@
                    [](const TimedFault& a, const TimedFault& b) { return a.at < b.at; });
 }
 
-// The incident of 2026-12-02 (docs/incidents/2026-12-02-membership-outage.md). What users saw: nothing but a
-// little delay, as the workers turned the calls away. Order of events: the membership log was out of reach of
-// all invokers for 10 s; two busy workers began to drain 0.6 s after that began and stayed up. Cause: nothing
-// limited how long an invoker used the last list, so that calls and load orders went on to the two past the
-// time at which their drain counted as told. Evidence: the workers' records, and status lines that show no
-// event applied before the outage's end.
+// Reproduces the incident of 2026-12-02 (docs/incidents/2026-12-02-membership-outage.md): the membership log
+// is unreachable for all invokers for 10 s, and two busy workers begin to drain 0.6 s into the outage and
+// stay up. An invoker without a limit on the age of its worker list keeps sending calls and load orders to
+// the two workers after their drain counts as known. Users see only a small delay, as the workers reject
+// those calls; the workers' records show them, and the status lines show no event applied before the end of
+// the outage.
 Schedule membership_outage(const char* name, LogFault fault) {
   Schedule schedule;
   schedule.name = name;
@@ -210,11 +211,10 @@
   return schedule;
 }
 
-// Seed 132 of 30 s, cut down. What users saw: all calls refused for seconds, though the workers were well.
-// Order of events: the membership log was out of reach and the settings allowed no probes; for half a second
-// no worker accepted a call. Cause: from then on the invoker knows of no worker that may lawfully be used,
-// and may ask none. Evidence: `now.withheld` is the number of all workers in its status lines, and
-// `shed.unhealthy` counts all calls.
+// Reduced from seed 132 with 30 s: all calls are refused for seconds although the workers are healthy. The
+// membership log is unreachable, the settings allow no probes, and for half a second no worker accepts a
+// call. From then on the invoker knows no worker that the rules allow it to use, and may probe none. In its
+// status lines `now.withheld` is the number of all workers, and `shed.unhealthy` counts all calls.
 Schedule outage_without_probes() {
   Schedule schedule;
   schedule.name = "outage-without-probes";
@@ -231,11 +231,11 @@
   return schedule;
 }
 
-// Outages where the settings allow no probes, with nothing else wrong but two workers that drain. What users
-// saw: most calls refused from 4 s into the outage on, the more the more invokers and workers share the same
-// calls. Cause: a worker heard from one invoker less often than the lease on it lasts, and once the last
-// lease had ended nothing lawful was left to begin again. Evidence: `now.withheld` rises to the number of
-// workers.
+// Outages of the membership log without probes, with two draining workers as the only other fault. An invoker
+// that sends each worker a call less often than its lease on that worker lasts loses all leases, and has no
+// permitted way to renew one. Most calls are then refused from 4 s into the outage on; the share grows with
+// the number of invokers and workers among which the same calls are divided. `now.withheld` rises to the
+// number of workers.
 Schedule fleet_outage(const std::string& name, int invokers, int hosts, double calls_per_second,
                       double min_served_share) {
   Schedule schedule;
@@ -285,9 +285,9 @@
   return schedules;
 }
 
-// One worker of eight serves nothing and says so at once. What users saw: 6 to 9% of all calls refused, half
-// of them in the worst seconds (seeds 210 and 221 of 30 s). Cause: an answer that ends no call and counted as
-// no failure left the worker in place, and a call went there with all its attempts.
+// One worker of eight serves nothing and says so at once. If such a reply neither ends the call nor counts as
+// a failure of the worker, the worker stays in use and a call spends all its attempts on it: 6 to 9% of all
+// calls were refused, and half of them in the worst seconds (seeds 210 and 221 with 30 s).
 Schedule useless_worker(const char* name, HostFault fault) {
   Schedule schedule;
   schedule.name = name;
@@ -303,29 +303,29 @@
 
 const char* name_of(LogFault fault) {
   switch (fault) {
-    case LogFault::refused: return "refuses";
+    case LogFault::refused: return "refuses connections";
     case LogFault::silent: return "is silent";
-    case LogFault::truncated: return "is cut off in mid-line";
-    case LogFault::reset: return "breaks off and is silent";
-    case LogFault::sequence_only: return "tells numbers alone";
+    case LogFault::truncated: return "stops in the middle of a line";
+    case LogFault::closed: return "closes connections and is silent";
+    case LogFault::sequence_only: return "sends sequence numbers only";
     case LogFault::moved: break;
   }
   return "has moved";
 }
 
 const char* name_of(HostFault fault) {
-  constexpr std::array<const char*, 12> kNames{"is well",
-                                               "turns all away",
+  constexpr std::array<const char*, 12> kNames{"is healthy",
+                                               "rejects all calls",
                                                "fails",
-                                               "says moot",
+                                               "replies moot",
                                                "is slow",
                                                "hangs",
                                                "resets connections",
-                                               "forgets idle connections",
-                                               "spoils answers",
-                                               "answers twice",
+                                               "closes idle connections",
+                                               "sends some malformed replies",
+                                               "sends some replies twice",
                                                "refuses connections",
-                                               "answers what cannot be read"};
+                                               "sends only malformed replies"};
   return kNames[static_cast<std::size_t>(fault)];
 }
 
@@ -337,12 +337,12 @@
 
 const char* name_of(ClientFault::Kind kind) {
   constexpr std::array<const char*, 6> kNames{
-      "idle connections",           "calls at once",  "cancels", "leaves",
-      "connections with bad bytes", "calls in pieces"};
+      "idle connections",  "calls at once", "cancels", "disconnects", "connections with malformed input",
+      "calls in two parts"};
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-// Writes one fault as a phrase.
+// Writes one fault as a phrase of the text of `describe`.
 class Describer {
  public:
   explicit Describer(std::ostream& out) : out_(out) {}
@@ -355,33 +355,33 @@
     out_ << "the log is " << f.delay.count() << " ms late for " << f.length.count() << " ms";
   }
   void operator()(const LogRepeatFault& f) const {
-    out_ << "the log writes events twice for " << f.length.count() << " ms";
+    out_ << "the log sends events twice for " << f.length.count() << " ms";
   }
   void operator()(const ZoneDrainFault& f) const {
     out_ << "hosts of zone " << f.zone << " below " << f.below << " at once: ";
     (*this)(f.drain);
   }
-  void operator()(const LogBreakFault&) const { out_ << "connections to the log break"; }
+  void operator()(const LogBreakFault&) const { out_ << "connections to the log are closed"; }
   void operator()(const DrainFault& f) const {
-    out_ << "host " << f.host << " drains, told after " << f.event_delay.count() << " ms, gone after "
-         << f.stop_after.count() << ", back after " << f.restart_after.count()
-         << (f.with_new_id ? " as another" : "");
+    out_ << "host " << f.host << " drains, event after " << f.event_delay.count() << " ms, stopped after "
+         << f.stop_after.count() << ", restarted after " << f.restart_after.count()
+         << (f.with_new_id ? " with a new id" : "");
   }
   void operator()(const CrashFault& f) const {
-    out_ << "host " << f.host << " dies, told after " << f.event_delay.count() << " ms, back after "
+    out_ << "host " << f.host << " crashes, event after " << f.event_delay.count() << " ms, restarted after "
          << f.restart_after.count();
   }
   void operator()(const HostFaultSpan& f) const {
     out_ << "host " << f.host << ' ' << name_of(f.fault) << " for " << f.length.count() << " ms";
   }
   void operator()(const SignalFault& f) const {
-    out_ << "invoker " << f.invoker << ": " << name_of(f.kind) << " x " << f.times << ", new log late by "
-         << f.new_log_delay.count() << " ms" << (f.new_log_silent ? ", mute" : "");
+    out_ << "invoker " << f.invoker << ": " << name_of(f.kind) << " x " << f.times << ", new log delayed by "
+         << f.new_log_delay.count() << " ms" << (f.new_log_silent ? ", silent" : "");
   }
   void operator()(const ClientFault& f) const {
     out_ << "invoker " << f.invoker << ": " << f.count << ' ' << name_of(f.kind);
   }
-  void operator()(const ClockStepFault& f) const { out_ << "wall clock steps by " << f.by.count() << " ms"; }
+  void operator()(const ClockStepFault& f) const { out_ << "wall clock jumps by " << f.by.count() << " ms"; }
   void operator()(const SystemCallFault& f) const {
     out_ << "invoker " << f.invoker << ": " << f.per_mille << " of 1000 system calls fail for "
          << f.length.count() << " ms";
@@ -466,7 +466,7 @@
   const Deployment& d = schedule.deployment;
   out << schedule.name << ": " << schedule.length.count() << " ms, " << d.invokers << " invokers, " << d.hosts
       << " hosts in " << d.zones << " zones, " << d.functions << " functions, " << d.calls_per_second
-      << " calls a second and invoker, allowed " << d.repeatable_time_limit.count() << " and "
+      << " calls per second and invoker, time limits " << d.repeatable_time_limit.count() << " and "
       << d.once_time_limit.count() << " ms, " << d.send_cap << " attempts, probes " << d.probes << ", "
       << d.descriptors << " descriptors\n";
   for (const TimedFault& timed : schedule.faults) {
--- a/tests/soak/shared_list.h
+++ b/tests/soak/shared_list.h
@@ -1,4 +1,4 @@
-// Lists of connections that their owners keep alive.
+/// Helpers for lists that own connections through shared pointers.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace pathstack::soak {
 
-/// The owner of `item`; null if the list does not hold it. Linear in the list.
+/// The shared pointer to `item`; null if the list does not hold it. Cost: linear in the list.
 template <typename T>
 std::shared_ptr<T> owner_of(const std::list<std::shared_ptr<T>>& list, const T& item) {
   const auto found =
@@ -17,8 +17,8 @@
   return found == list.end() ? nullptr : *found;
 }
 
-/// Takes `ended` out of the list; it lives to the end of the loop's turn, as one of its functions may still
-/// run.
+/// Removes `ended` from the list. Defers its destruction to the end of the loop's turn, as one of its
+/// functions may still be running. Cost: linear in the list.
 template <typename T>
 void release(std::list<std::shared_ptr<T>>& list, const T& ended, net::Loop& loop) {
   const std::shared_ptr<T> owner = owner_of(list, ended);
--- a/tests/soak/site_settings.h
+++ b/tests/soak/site_settings.h
@@ -1,4 +1,4 @@
-// The platform's settings object of a drawn deployment.
+/// The platform's settings for a deployment.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,15 +8,16 @@
 
 namespace pathstack::soak {
 
-/// Name of the one class of these semantics.
+/// Name of the class with these semantics; each deployment has one class per semantics.
 const char* class_name(Semantics semantics);
 
-/// `settings` of the configuration file of invoker `rank`.
+/// Value of `settings` in the configuration of invoker `rank`.
 nlohmann::json site_settings(const Deployment& deployment, int rank);
 
-/// The same limits for the judge.
+/// Limits of the deployment that the judge checks; consistent with `site_settings`.
 RuleSettings rule_settings(const Deployment& deployment);
 
+/// Name of zone `zone`, counted from 0.
 std::string zone_name(int zone);
 
 }  // namespace pathstack::soak
--- a/tests/soak/worker_host.cpp
+++ b/tests/soak/worker_host.cpp
@@ -8,8 +8,8 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr int kMaxRunningCalls = 48;  // beyond these a call is turned away
-constexpr std::uint64_t kMaxTimeout = 1000000;
+constexpr int kMaxRunningCalls = 48;            // per function; further calls are rejected as `full`
+constexpr std::uint64_t kMaxTimeout = 1000000;  // ms
 constexpr double kSlowFactor = 10;
 
 }  // namespace
@@ -20,13 +20,13 @@
       : Stream(host.loop_, host.pool_, std::move(socket), false), host_(host), invoker_(invoker) {}
 
   int invoker() const { return invoker_; }
-  std::map<std::string, std::size_t> open;  // requests by ref or tag: place in the record
+  std::map<std::string, std::size_t> open;  // index in Record::requests by ref
 
  private:
   WorkerHost& host_;
   int invoker_;
-  hosts::LineParser parser_;  // requests have the form of answers, with the verb first
-  Millis first_byte_at_{0};
+  hosts::LineParser parser_;  // requests have the format of replies, with the verb as id
+  Millis first_byte_at_{0};   // of the request being received
 
   void received(std::string_view bytes) override {
     const Millis now = host_.clock_();
@@ -95,7 +95,7 @@
     if (fault != HostFault::refusing && !stopped_) endpoint.listener->reopen();
     for (const auto& peer : endpoint.peers) {
       const bool forgotten = fault == HostFault::closing_idle && peer->open.empty();
-      // What was sent to a worker that hung is lost: it cannot be read in part.
+      // Requests sent while the worker hung are lost, and the connection cannot continue after lost requests.
       if (forgotten || was_hanging) peer->end_later();
     }
   }
@@ -103,7 +103,7 @@
 
 void WorkerHost::handle_line(Peer& peer, const hosts::Reply& line, Millis first_byte) {
   if (line.id == "exec") return handle_call(peer, line, first_byte);
-  // A worker that hangs answers nothing; the record still says what was given up meanwhile.
+  // A hanging worker replies to nothing, but calls that the invoker drops are still recorded as ended.
   if (fault_ == HostFault::hanging && line.id != "drop") return;
   if (line.id == "ensure") return handle_load_order(peer, line, first_byte);
   if (line.id == "health" || line.id == "load") {
@@ -152,7 +152,7 @@
   });
 }
 
-// The run has come to its end.
+// Completes a run: replies, unless the invoker has dropped the call or disconnected.
 void WorkerHost::run_call(const std::weak_ptr<Peer>& weak, std::size_t record_index,
                           const std::string& function, const std::string& body, int running) {
   --running_calls_[function];
@@ -209,7 +209,7 @@
   });
 }
 
-// A close gives up all that is open on the connection.
+// The close of a connection ends all requests that are open on it.
 void WorkerHost::peer_ended(Peer& peer) {
   for (const auto& [ref, record_index] : peer.open) record_.requests[record_index].ended = clock_();
   peer.open.clear();
--- a/tests/soak/worker_host.h
+++ b/tests/soak/worker_host.h
@@ -1,4 +1,5 @@
-// A stand-in for a worker: the line protocol, loads, runs, and faults that a schedule sets.
+/// A simulated worker host: speaks the hosts' line protocol, loads and runs functions, and misbehaves on
+/// demand.
 #pragma once
 
 #include <cstdint>
@@ -19,27 +20,29 @@
 
 namespace pathstack::soak {
 
-/// How a worker fails, beside draining and going.
+/// Fault of a worker host, in addition to draining and stopping.
 enum class HostFault {
   none,
-  full,            // turns all calls away
-  failing,         // answers `failed` at once
-  moot,            // says that calls were over already
+  full,            // rejects all calls and load orders as `full`
+  failing,         // replies `failed` at once
+  moot,            // replies `moot`, as if the call had already ended
   slow,            // runs take ten times as long
-  hanging,         // reads and answers nothing
-  resetting,       // ends a connection under every fourth call
-  closing_idle,    // ends connections that have nothing open
-  some_malformed,  // one answer in eight cannot be read
-  duplicating,     // one answer in four comes twice
-  refusing,        // takes no new connection
-  all_malformed    // no answer to a call can be read
+  hanging,         // replies to nothing
+  resetting,       // closes the connection on one call in four
+  closing_idle,    // closes the connections that have no open request
+  some_malformed,  // one reply in eight cannot be parsed
+  duplicating,     // one reply in four is sent twice
+  refusing,        // refuses new connections
+  all_malformed    // no reply to a call that ran can be parsed
 };
 
+/// Durations of runs (uniform between the bounds) and of loading a function.
 struct HostTimes {
   Millis run_min{15}, run_max{60}, load{80};
 };
 
-/// One worker. A process of it that goes and comes back is the same object, empty.
+/// One worker host, with an address of its own for each invoker. A restart keeps the object and the addresses
+/// but no loaded functions. Must be destroyed before the loop.
 class WorkerHost {
  public:
   WorkerHost(net::Loop& loop, net::BufferPool& pool, Record& record, std::function<Millis()> clock,
@@ -49,19 +52,20 @@
   WorkerHost& operator=(const WorkerHost&) = delete;
 
   const std::string& id() const { return id_; }
-  /// `id` is its own, or was before it was renamed.
+  /// True if `id` is or was the id of this worker.
   bool has_had_id(const std::string& id) const { return all_ids_.count(id) != 0; }
-  /// The next process at this address has another id.
+  /// Sets the id of the next process at this address.
   void rename(const std::string& id);
   const std::string& zone() const { return zone_; }
   std::string address(int invoker) const { return endpoints_.at(invoker).listener->address(); }
 
-  /// Turns new work away and says so to probes; what runs is completed.
+  /// Rejects new work and reports `ill` to probes; running calls complete.
   void drain() { draining_ = true; }
-  /// The process ends: connections close, new ones are refused.
+  /// Simulates the end of the process: closes all connections and refuses new ones.
   void stop();
-  /// A new process, with nothing loaded.
+  /// Simulates the start of a new process, with no functions loaded.
   void start();
+  /// Replaces the current fault; HostFault::none ends it.
   void set_fault(HostFault fault);
 
  private:
@@ -76,15 +80,15 @@
   Record& record_;
   std::function<Millis()> clock_;
   std::string id_, zone_;
-  std::set<std::string> all_ids_;  // all so far
+  std::set<std::string> all_ids_;  // all ids so far
   HostTimes times_;
   std::mt19937_64 random_;
   std::map<int, Endpoint> endpoints_;
   std::set<std::string> loaded_;
-  std::map<std::string, int> running_calls_;  // calls by function
+  std::map<std::string, int> running_calls_;  // number by function
   bool draining_ = false, stopped_ = false;
   HostFault fault_ = HostFault::none;
-  std::uint64_t process_generation_ = 1;  // what was begun by an earlier process never ends
+  std::uint64_t process_generation_ = 1;  // work started by an earlier process is dropped
 
   bool one_in(std::uint64_t n) { return random_() % n == 0; }
   void handle_line(Peer& peer, const hosts::Reply& line, Millis first_byte);
