--- a/tests/soak/judge/drain_rule.cpp
+++ b/tests/soak/judge/drain_rule.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 Millis notice_delay(LogFault fault) {
-  constexpr Millis kAfterBreak{2000}, kAfterStop{4000};
-  const bool broke = fault == LogFault::refused || fault == LogFault::closed;
-  return broke ? kAfterBreak : kAfterStop;
+  constexpr Millis kAfterClose{2000}, kAfterStop{4000};
+  const bool is_closed = fault == LogFault::refused || fault == LogFault::closed;
+  return is_closed ? kAfterClose : kAfterStop;
 }
 
 // The time from which the outage withheld events: for `sequence_only` that of the first withheld event.
@@ -38,8 +38,8 @@
   const MembershipChange* latest = nullptr;
   for (const MembershipChange& change : record.changes) {
     if (change.worker != request.worker || change.at > request.first_byte) continue;
-    const bool same_stay = latest != nullptr && latest->state != MemberState::ready;
-    if (same_stay && change.state != MemberState::ready) continue;  // removed after it was drained
+    const bool already_leaving = latest != nullptr && latest->state != MemberState::ready;
+    if (already_leaving && change.state != MemberState::ready) continue;  // removed after it was drained
     latest = &change;
     known_at = assumed_known_at(record, request.invoker, change.at);
   }
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -30,7 +30,7 @@
   int send_cap = 4;
   bool probes = true, orders = true;
   bool sequence_as_object = true;       // the log sends {"seq":N} rather than N
-  bool sequence_after_request = false;  // the log also sends it with the reply to a request
+  bool sequence_after_request = false;  // a reply to a request ends with the sequence number
   int descriptors = 512, memory_mb = 128;
   HostTimes times;
   double min_served_share = 0, min_served_share_per_second = 0;  // 0: no minimum
--- a/tests/soak/worker_host.cpp
+++ b/tests/soak/worker_host.cpp
@@ -94,9 +94,9 @@
     if (fault == HostFault::refusing) endpoint.listener->close();
     if (fault != HostFault::refusing && !stopped_) endpoint.listener->reopen();
     for (const auto& peer : endpoint.peers) {
-      const bool forgotten = fault == HostFault::closing_idle && peer->open.empty();
+      const bool closes_idle = fault == HostFault::closing_idle && peer->open.empty();
       // Requests sent while the worker hung are lost, and the connection cannot continue after lost requests.
-      if (forgotten || was_hanging) peer->end_later();
+      if (closes_idle || was_hanging) peer->end_later();
     }
   }
 }
