--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -6,7 +6,7 @@
 
 namespace pathstack::soak {
 
-// One of the two connections of a link.
+// One of the two connections of a link: to the client or to the target.
 class FaultProxy::Side final : public net::Stream {
  public:
   Side(FaultProxy& proxy, Link& link, net::Socket socket, bool connecting)
@@ -43,10 +43,10 @@
 }
 
 void FaultProxy::forward(Side& from, std::string_view bytes) {
-  if (mode_ != Mode::pass && mode_ != Mode::cut) return;
+  if (mode_ != Mode::pass && mode_ != Mode::truncate) return;
   Link& link = from.link();
   const bool from_target = &from == link.target.get();
-  if (mode_ == Mode::cut) {
+  if (mode_ == Mode::truncate) {
     if (!from_target) return;
     link.client->write(bytes.substr(0, bytes.size() / 2));
     mode_ = Mode::silent;
@@ -61,7 +61,7 @@
 }
 
 void FaultProxy::set_mode(Mode mode) {
-  const bool was_held_back = mode_ == Mode::silent || mode_ == Mode::cut;
+  const bool was_held_back = mode_ == Mode::silent || mode_ == Mode::truncate;
   mode_ = mode;
   if (mode == Mode::refuse) listener_.close();
   if (mode != Mode::refuse) listener_.reopen();
@@ -75,7 +75,7 @@
   }
 }
 
-// Both sides end together.
+// The end of one connection closes the other one too.
 void FaultProxy::link_ended(Link& link) {
   if (std::exchange(link.ending, true)) return;
   link.client->end_later();
--- a/tests/soak/judge/broken_rule.h
+++ b/tests/soak/judge/broken_rule.h
@@ -1,4 +1,4 @@
-// A rule that a run broke.
+/// A violation of one of the platform's rules, found in the record of a run.
 #pragma once
 
 #include <string>
@@ -8,12 +8,13 @@
 
 namespace pathstack::soak {
 
-struct BrokenRule {
+/// One violation: the rule's name, the time in the run, and a sentence for the reader of the report.
+struct Violation {
   std::string rule;
   Millis at{0};
-  std::string what;
-  bool depends_on_pace = false;  // a machine that is too busy could cause it as well
+  std::string message;
+  bool depends_on_machine_speed = false;  // an overloaded machine can cause the violation too
 };
-using BrokenRules = std::vector<BrokenRule>;
+using Violations = std::vector<Violation>;
 
 }  // namespace pathstack::soak
