--- a/src/feed/membership_client.cpp
+++ b/src/feed/membership_client.cpp
@@ -5,7 +5,7 @@
 namespace pathstack::feed {
 namespace {
 
-constexpr std::size_t kMostIdsLogged = 8;
+constexpr std::size_t kMaxLoggedIds = 8;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
       on_update_(std::move(on_update)),
       max_event_bytes_(max_event_bytes),
       timeouts_(timeouts),
-      backoff_(timeouts.backoff_first, timeouts.backoff_most, seed),
+      backoff_(timeouts.backoff_initial, timeouts.backoff_max, seed),
       staleness_(timeouts),
       lease_(loop.now()) {}
 
@@ -43,8 +43,8 @@
                                                   staleness_, timeouts_.connect, max_event_bytes_);
 }
 
-// The new address is asked at once, without a pause: its events count as received soon after the move.
-void MembershipClient::move(const std::string& address) {
+// Connects without a delay: the platform counts events of the new log as delivered soon after the move.
+void MembershipClient::switch_address(const std::string& address) {
   if (address == address_) return;
   counters_.add(core::Counter::feed_moves);
   if (event_log_ != nullptr) event_log_->write("membership.moved", {{"address", address}});
@@ -81,7 +81,7 @@
     report_lease();
     return false;
   }
-  // A line that this process was late to read may be as old as the poll before the one that reported it.
+  // If this process stalled, the line may have arrived as early as the poll before the one that reported it.
   if (result == Result::up_to_date) lease_.confirmed(loop_.previous_poll());
   if (result != Result::up_to_date) lease_.event_received(loop_.previous_poll());
   backoff_.reset();
@@ -98,11 +98,11 @@
   return true;
 }
 
-void MembershipClient::on_silence_expired(const WatchConnection& connection) {
+void MembershipClient::on_silence_timeout(const WatchConnection& connection) {
   if (is_current(connection)) staleness_.silence_expired();
 }
 
-void MembershipClient::on_line_expired(const WatchConnection& connection) {
+void MembershipClient::on_line_timeout(const WatchConnection& connection) {
   if (is_current(connection)) staleness_.line_expired();
 }
 
@@ -114,20 +114,20 @@
                                            {"last", std::to_string(sequence_.last())}});
   }
   if (connection.end_cause() != net::StreamEnd::local) {
-    lease_.connection_broke(loop_.now());
+    lease_.connection_lost(loop_.now());
     report_lease();
   }
   reconnect_later();
 }
 
-void MembershipClient::on_asked(std::uint64_t last) {
-  lease_.asked(loop_.now());
+void MembershipClient::on_events_requested(std::uint64_t last) {
+  lease_.events_requested(loop_.now());
   report_lease();
   if (event_log_ == nullptr) return;
   event_log_->write("membership.asked", {{"address", address_}, {"since", std::to_string(last)}});
 }
 
-// Counts of the states named, and the ids as far as they are few.
+// Logs the number of hosts in each state, and their ids if there are at most kMaxLoggedIds.
 void MembershipClient::log_event(const core::MemberList& list) const {
   if (event_log_ == nullptr) return;
   std::size_t ready = 0, draining = 0, gone = 0;
@@ -137,7 +137,7 @@
     if (state == core::WorkerState::ready) ++ready;
     if (state == core::WorkerState::draining) ++draining;
     if (state == core::WorkerState::gone) ++gone;
-    if (list.members.size() > kMostIdsLogged) continue;
+    if (list.members.size() > kMaxLoggedIds) continue;
     if (!ids.empty()) ids += ',';
     ids += member.entry.worker;
   }
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -52,7 +52,7 @@
       actions_(actions) {}
 
 void OutcomeRecorder::note_alive(WorkerIndex worker, Millis now) {
-  if (outliers_.note_alive(worker, now)) slow_start_.returned(worker, now);
+  if (outliers_.note_alive(worker, now)) slow_start_.worker_recovered(worker, now);
 }
 
 void OutcomeRecorder::record_attempt(Request& request, const Attempt& attempt,
@@ -61,7 +61,7 @@
   Instance& instance = request.function->instance_at(worker);
   workers_.attempt_ended(worker, attempt.confirmed);
   instance.in_flight = std::max(0, instance.in_flight - 1);
-  if (proves_contact(answer.outcome)) workers_.heard_from(worker, now);
+  if (proves_contact(answer.outcome)) workers_.record_activity(worker, now);
   if (is_worker_response(answer.outcome)) note_alive(worker, now);
   if (answer.outcome == Outcome::not_sent) return undo_unsent_attempt(request, attempt, instance, now);
   reports_.record(worker, answer.report, now);
@@ -90,7 +90,7 @@
       request.function->last_attempt_missed = true;
       if (!settings_.rejects_on_miss) record_useless_answer(request, attempt, answer, now);
       return;
-    case Outcome::full: lease_.turned_away(worker, now); return limits_.record_full(worker, now);
+    case Outcome::full: lease_.work_rejected(worker, now); return limits_.record_full(worker, now);
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset:
       if (!attempt.presumed_lost) outliers_.record_lost_answers(worker, request.class_index, now);
@@ -107,7 +107,7 @@
 
 void OutcomeRecorder::record_success(const Request& request, const Attempt& attempt, Instance& instance,
                                      const event::AttemptEnded& answer, Millis now) {
-  lease_.accepted(attempt.worker, request.function->id, attempt.sent_at);
+  lease_.work_accepted(attempt.worker, request.function->id, attempt.sent_at);
   record_times(request, attempt, answer, now);
   outliers_.record_success(attempt.worker, request.class_index, now);
   request.function->last_attempt_missed = false;
@@ -192,9 +192,9 @@
     if (order.instances == 0) function.no_order_before = now + kMinStallTime;
     if (order.instances > 0) function.last_attempt_missed = false;
   }
-  if (order.outcome == Outcome::full) lease_.turned_away(worker, now);
+  if (order.outcome == Outcome::full) lease_.work_rejected(worker, now);
   const bool is_loaded = order.outcome == Outcome::ok && order.instances > 0;
-  if (is_loaded) lease_.accepted(worker, function.id, now - order.elapsed);
+  if (is_loaded) lease_.work_accepted(worker, function.id, now - order.elapsed);
   switch (order.outcome) {
     case Outcome::connect_failed: return outliers_.connection_failed(worker, false, now);
     case Outcome::reset: return outliers_.connection_failed(worker, true, now);
@@ -209,9 +209,9 @@
 
 void OutcomeRecorder::record_probe(WorkerIndex worker, const event::ProbeEnded& probe, Millis now) {
   // A worker that answers that it drains is running and is not an outlier.
-  const MembershipLease::Word word = lease_.probe_ended(worker, probe, now);
-  if (word == MembershipLease::Word::not_well) return note_alive(worker, now);
-  if (word == MembershipLease::Word::well_again) handle_new_process(worker, now);
+  const MembershipLease::ProbeVerdict verdict = lease_.probe_ended(worker, probe, now);
+  if (verdict == MembershipLease::ProbeVerdict::unhealthy) return note_alive(worker, now);
+  if (verdict == MembershipLease::ProbeVerdict::recovered) handle_new_process(worker, now);
   if (probe.outcome != Outcome::ok) return outliers_.probe_failed(worker, probe.outcome, now);
   outliers_.probe_answered(worker);
   note_alive(worker, now);
@@ -220,7 +220,7 @@
 
 void OutcomeRecorder::record_connections_lost(WorkerIndex worker, Millis now) {
   if (lease_.is_list_current(now)) return;
-  lease_.end(worker);
+  lease_.revoke(worker);
   handle_new_process(worker, now);
 }
 
@@ -228,7 +228,7 @@
 // this invoker cannot receive it; so the worker is treated as restarted.
 void OutcomeRecorder::handle_new_process(WorkerIndex worker, Millis now) {
   functions_.clear_instances(worker);
-  slow_start_.returned(worker, now);
+  slow_start_.worker_recovered(worker, now);
 }
 
 void OutcomeRecorder::handle_unanswered(Millis now) {
--- a/tests/invoker/parsers_test.cpp
+++ b/tests/invoker/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The parsers under random cuts of valid messages and under random garbage.
+// Tests the parsers with valid messages in random pieces, with invalid messages and with random bytes.
 #include <catch2/catch.hpp>
 
 #include "amqp/content_header.h"
@@ -16,13 +16,13 @@
 
 constexpr int kRounds = 300;
 
-std::string random_bytes(Random& random, std::size_t most) {
-  std::string out(below(random, most), ' ');
+std::string random_bytes(Random& random, std::size_t limit) {
+  std::string out(below(random, limit), ' ');
   for (char& c : out) c = static_cast<char>(random());
   return out;
 }
 
-TEST_CASE("RESP arrays come out as they went in, however they are cut") {
+TEST_CASE("RESP arrays are read as written, in pieces of any size") {
   Random random(1);
   for (int round = 0; round < kRounds; ++round) {
     std::vector<resp::Words> sent(1 + below(random, 4));
@@ -32,29 +32,29 @@
       for (auto& word : words) word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
     }
-    bool sound = false;
-    CHECK(parse_cut<resp::Parser, resp::Words>(random, bytes, sound) == sent);
-    CHECK(sound);
+    bool valid = false;
+    CHECK(parse_cut<resp::Parser, resp::Words>(random, bytes, valid) == sent);
+    CHECK(valid);
   }
 }
 
-TEST_CASE("what is no RESP array of allowed size spoils the stream") {
+TEST_CASE("input other than a RESP array of allowed size is an error of the stream") {
   Random random(2);
-  bool sound = true;
+  bool valid = true;
   for (const char* bad : {"*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n$16385\r\n", "*1\r\n$x\r\n",
                           "*1\r\n$1\r\nabc", "+OK\r\n", "*1\r$", "*1111111111111111", "*1\r\n$-1\r\n"}) {
-    parse_cut<resp::Parser, resp::Words>(random, bad, sound);
-    CHECK_FALSE(sound);
+    parse_cut<resp::Parser, resp::Words>(random, bad, valid);
+    CHECK_FALSE(valid);
   }
-  // Only one word may be long: the bound holds before the memory is taken.
+  // Only one word may be long: the limit is checked before memory is allocated.
   const std::string long_word = "$16384\r\n" + std::string(16384, 'x') + "\r\n";
-  parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", sound);
-  CHECK_FALSE(sound);
-  parse_cut<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", sound);
-  CHECK(sound);
+  parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", valid);
+  CHECK_FALSE(valid);
+  parse_cut<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", valid);
+  CHECK(valid);
 }
 
-TEST_CASE("hosts' lines come out as they went in, however they are cut") {
+TEST_CASE("lines of hosts are read as written, in pieces of any size") {
   Random random(3);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -66,24 +66,24 @@
           id + " data crowd=3" + (has_body ? ' ' + std::to_string(body.size()) + "\r\n" + body : "") + "\r\n";
       sent.push_back(id + "crowd=3" + (has_body ? body : "-"));
     }
-    bool sound = false;
-    for (const auto& r : parse_cut<hosts::LineParser, hosts::Reply>(random, bytes, sound)) {
+    bool valid = false;
+    for (const auto& r : parse_cut<hosts::LineParser, hosts::Reply>(random, bytes, valid)) {
       read.push_back(r.id + r.fields + r.body.value_or("-"));
     }
     CHECK(read == sent);
-    CHECK(sound);
+    CHECK(valid);
   }
-  bool sound = true;
+  bool valid = true;
   for (const char* bad :
        {"\r\n", "one\r\n", "a b c d e\r\n", "a b - 3\r\nabcd\r\n", "a b - x\r\n", "a b\n", "a  b\r\n"}) {
-    parse_cut<hosts::LineParser, hosts::Reply>(random, bad, sound);
-    CHECK_FALSE(sound);
+    parse_cut<hosts::LineParser, hosts::Reply>(random, bad, valid);
+    CHECK_FALSE(valid);
   }
-  parse_cut<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), sound);
-  CHECK_FALSE(sound);
+  parse_cut<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), valid);
+  CHECK_FALSE(valid);
 }
 
-TEST_CASE("AMQP frames, properties and tables come out as they went in, however they are cut") {
+TEST_CASE("AMQP frames, properties and tables are read as written, in pieces of any size") {
   Random random(4);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -100,10 +100,10 @@
     bytes += amqp::encode_frame(amqp::FrameType::header, 1, header) +
              amqp::encode_frame(amqp::FrameType::body, 1, body);
     bytes += amqp::encode_frame(amqp::FrameType::heartbeat, 0, {});
-    bool sound = false;
-    const auto frames = parse_cut<amqp::FrameParser, amqp::Frame>(random, bytes, sound);
+    bool valid = false;
+    const auto frames = parse_cut<amqp::FrameParser, amqp::Frame>(random, bytes, valid);
     REQUIRE(frames.size() == 3);
-    CHECK((sound && frames[1].payload == body && frames[1].channel == 1));
+    CHECK((valid && frames[1].payload == body && frames[1].channel == 1));
     const auto read = amqp::decode_content_header(frames[0].payload);
     REQUIRE(read);
     CHECK(read->properties.message_id == p.message_id);
@@ -111,8 +111,8 @@
   }
 }
 
-// Bytes as the specification prints them, so that writer and reader cannot be wrong alike.
-TEST_CASE("AMQP bytes stand in the order of the specification") {
+// Expects bytes taken from the specification, so that an error common to writer and reader is found.
+TEST_CASE("AMQP encodings match the bytes of the specification") {
   using namespace std::string_literals;
   CHECK(amqp::encode_frame(amqp::FrameType::heartbeat, 0, {}) == "\x08\0\0\0\0\0\0\xCE"s);
   CHECK(amqp::encode_frame(amqp::FrameType::method, 1, "\0\x3C\0\x50"s) ==
@@ -128,19 +128,19 @@
   CHECK(table.table() == amqp::FieldTable{{"s", "hi"s}, {"n", std::int64_t{-2}}, {"v", std::monostate()}});
 }
 
-TEST_CASE("garbage ends a stream or is passed over; it never ends the process") {
+TEST_CASE("random bytes end a stream or are skipped; they never end the process") {
   Random random(5);
-  bool sound = false;
+  bool valid = false;
   for (int round = 0; round < 20 * kRounds; ++round) {
-    parse_cut<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), sound);
-    parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
+    parse_cut<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), valid);
+    parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), valid);
     parse_cut<amqp::FrameParser, amqp::Frame>(random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)),
-                                              sound);
-    parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
+                                              valid);
+    parse_cut<feed::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), valid);
     amqp::decode_content_header(std::string("\0\x3C\0\0", 4) +
                                 garbage(random, std::string("\0\1FAStx\xFF", 8)));
-    const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
-    amqp::ArgumentReader reader(wild);
+    const std::string garbage_bytes = garbage(random, std::string("\0\0\0\1FAStx", 9));
+    amqp::ArgumentReader reader(garbage_bytes);
     reader.table();
     net::parse_fields(garbage(random, "a=b,;:"));
     feed::EventSequence log;
@@ -149,7 +149,7 @@
   }
 }
 
-TEST_CASE("the change log is read once and in order") {
+TEST_CASE("events of the membership log are read once and in order") {
   const auto event = [](int seq) {
     return R"({"seq":)" + std::to_string(seq) +
            R"(,"fleet":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:9",)"
@@ -165,7 +165,7 @@
   CHECK(log.read_line("4", list) == feed::EventSequence::Result::up_to_date);
   CHECK(log.read_line("3", list) == feed::EventSequence::Result::no_update);
   CHECK(log.read_line("6", list) == feed::EventSequence::Result::gap);
-  // The number may stand in an object of its own.
+  // The sequence number may be the only key of an object.
   CHECK(log.read_line(R"({"seq":4})", list) == feed::EventSequence::Result::up_to_date);
   CHECK(log.read_line(R"({"seq":3})", list) == feed::EventSequence::Result::no_update);
   CHECK(log.read_line(R"({"seq":5})", list) == feed::EventSequence::Result::gap);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,5 +1,5 @@
-// The soak: plays schedules of faults against real processes, and judges what was seen by the platform's
-// rules.
+// The soak test: plays schedules of faults against real invoker processes and checks the records of the runs
+// against the platform's rules.
 #include <stdlib.h>
 
 #include <CLI/CLI.hpp>
@@ -21,8 +21,8 @@
 namespace pathstack::soak {
 namespace {
 
-constexpr int kWrongUsage = 2;
-constexpr std::size_t kMostShown = 12;  // broken rules of one seed
+constexpr int kUsageError = 2;
+constexpr std::size_t kMaxPrinted = 12;  // violations printed per schedule
 volatile bool stop_requested = false;
 
 extern "C" void request_stop(int) { stop_requested = true; }
@@ -36,22 +36,23 @@
   std::string keep_logs;
   std::string json_path;
   std::string program = PATHSTACK_INVOKER;
+  std::string second_program;
   std::string fault_library = PATHSTACK_FAULT_LIBRARY;
   bool dry_run = false;
   bool busy_machine = false;
 };
 
-struct SeedResult {
+struct ScheduleResult {
   std::string name;
   std::size_t calls = 0, served = 0;
-  int worst_second = 100;  // lowest share served of a second with calls enough, in percent
+  int worst_second = 100;  // lowest served share of a second with enough calls, in percent
   Millis longest_stall{0};
-  std::optional<double> share_in_outages, share_after_outages;  // served
-  BrokenRules broken;
-  std::string error;  // the schedule could not be played
+  std::optional<double> share_in_outages, share_after_outages;  // of calls served
+  Violations violations;
+  std::string error;  // set if the schedule could not be played
 };
 
-// Removed with its owner, unless the logs are kept.
+// Folder for the files of one run. Removed by the destructor, unless the logs are to be kept.
 class WorkFolder {
  public:
   WorkFolder(const std::string& keep, const std::string& name) : kept_(!keep.empty()) {
@@ -61,7 +62,7 @@
       return;
     }
     std::string pattern = std::filesystem::temp_directory_path().string() + "/pathstack-soak-XXXXXX";
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot make a temporary folder");
+    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
     path_ = pattern;
   }
   ~WorkFolder() {
@@ -77,14 +78,14 @@
   std::string path_;
 };
 
-SeedResult result_of(const Schedule& schedule, const Record& record) {
-  constexpr int kEnoughCalls = 10;
-  SeedResult result;
+ScheduleResult result_of(const Schedule& schedule, const Record& record) {
+  constexpr int kMinCalls = 10;
+  ScheduleResult result;
   result.name = schedule.name;
   for (const ServedWindow& window : served_by_second(record)) {
     result.calls += static_cast<std::size_t>(window.calls);
     result.served += static_cast<std::size_t>(window.served);
-    if (window.calls >= kEnoughCalls) {
+    if (window.calls >= kMinCalls) {
       result.worst_second = std::min(result.worst_second, 100 * window.served / window.calls);
     }
   }
@@ -93,50 +94,53 @@
   }
   result.share_in_outages = share_served_in_outages(record);
   result.share_after_outages = share_served_after_outages(record);
-  result.broken = judge(record);
+  result.violations = judge(record);
   return result;
 }
 
-SeedResult play_one(const Schedule& schedule, const Options& options) {
+ScheduleResult play_one(const Schedule& schedule, const Options& options) {
   try {
     const WorkFolder folder(options.keep_logs, schedule.name);
     const Record record =
-        play(schedule, {options.program, options.fault_library, folder.path()}, stop_requested);
+        play(schedule, {options.program, options.second_program, options.fault_library, folder.path()},
+             stop_requested);
     return result_of(schedule, record);
   } catch (const std::exception& error) {
-    SeedResult result;
+    ScheduleResult result;
     result.name = schedule.name;
     result.error = error.what();
     return result;
   }
 }
 
-void print(const SeedResult& result) {
+void print(const ScheduleResult& result) {
   const double share =
       result.calls == 0 ? 0 : 100.0 * static_cast<double>(result.served) / static_cast<double>(result.calls);
   std::printf(
-      "%-28s calls %6zu  served %5.1f%%  worst second %3d%%  recorder's longest stall %3.0f ms  broken "
+      "%-28s calls %6zu  served %5.1f%%  worst second %3d%%  recorder's longest stall %3.0f ms  violations "
       "%zu%s%s\n",
       result.name.c_str(), result.calls, share, result.worst_second, result.longest_stall.count(),
-      result.broken.size(), result.error.empty() ? "" : "  ERROR ", result.error.c_str());
+      result.violations.size(), result.error.empty() ? "" : "  ERROR ", result.error.c_str());
   if (result.share_in_outages) {
-    std::printf("    served in outages, from 4.5 s on: %.3f; in the second from 0.5 s after them on: %.3f\n",
-                *result.share_in_outages, result.share_after_outages.value_or(0));
+    std::printf(
+        "    served share in outages, after 4.5 s: %.3f; in the second that starts 0.5 s after them: %.3f\n",
+        *result.share_in_outages, result.share_after_outages.value_or(0));
   }
   std::map<std::string, std::size_t> by_rule;
-  for (const BrokenRule& broken : result.broken) ++by_rule[broken.rule];
+  for (const Violation& violation : result.violations) ++by_rule[violation.rule];
   for (const auto& [rule, count] : by_rule) std::printf("    rule %s: %zu\n", rule.c_str(), count);
-  for (std::size_t i = 0; i < std::min(kMostShown, result.broken.size()); ++i) {
-    const BrokenRule& broken = result.broken[i];
-    std::printf("    %9.1f ms %s: %s\n", broken.at.count(), broken.rule.c_str(), broken.what.c_str());
+  for (std::size_t i = 0; i < std::min(kMaxPrinted, result.violations.size()); ++i) {
+    const Violation& violation = result.violations[i];
+    std::printf("    %9.1f ms %s: %s\n", violation.at.count(), violation.rule.c_str(),
+                violation.message.c_str());
   }
   std::fflush(stdout);
 }
 
-nlohmann::json json_of(const SeedResult& result) {
-  nlohmann::json broken = nlohmann::json::array();
-  for (const BrokenRule& rule : result.broken) {
-    broken.push_back({{"rule", rule.rule}, {"at_ms", rule.at.count()}, {"what", rule.what}});
+nlohmann::json json_of(const ScheduleResult& result) {
+  nlohmann::json violations = nlohmann::json::array();
+  for (const Violation& rule : result.violations) {
+    violations.push_back({{"rule", rule.rule}, {"at_ms", rule.at.count()}, {"what", rule.message}});
   }
   return {{"schedule", result.name},
           {"calls", result.calls},
@@ -145,18 +149,18 @@
           {"longest_stall_ms", result.longest_stall.count()},
           {"share_in_outages", result.share_in_outages.value_or(-1)},
           {"share_after_outages", result.share_after_outages.value_or(-1)},
-          {"broken", broken},
+          {"broken", violations},
           {"error", result.error}};
 }
 
-bool has_failed(const SeedResult& result, const Options& options) {
+bool has_failed(const ScheduleResult& result, const Options& options) {
   if (!result.error.empty()) return true;
-  return std::any_of(result.broken.begin(), result.broken.end(), [&](const BrokenRule& broken) {
-    return !options.busy_machine || !broken.depends_on_pace;
+  return std::any_of(result.violations.begin(), result.violations.end(), [&](const Violation& violation) {
+    return !options.busy_machine || !violation.depends_on_machine_speed;
   });
 }
 
-// N, or A-B.
+// Parses `N` or `A-B`; nullopt for any other text.
 std::optional<std::pair<std::uint64_t, std::uint64_t>> seed_range(const std::string& text) {
   std::smatch match;
   if (!std::regex_match(text, match, std::regex("([0-9]{1,9})(-([0-9]{1,9}))?"))) return std::nullopt;
@@ -178,12 +182,12 @@
   return kinds;
 }
 
-// Nothing, and the fault named on standard error, if the options cannot be used.
+// The schedules that the options select. Reports invalid options on standard error and returns nullopt.
 std::optional<std::vector<Schedule>> schedules_of(const Options& options) {
   if (!options.schedule.empty()) {
     const auto schedule = named_schedule(options.schedule);
     if (!schedule) {
-      std::cerr << "soak: no schedule is called " << options.schedule << "; there are";
+      std::cerr << "soak: unknown schedule " << options.schedule << "; known schedules:";
       for (const std::string& name : schedule_names()) std::cerr << ' ' << name;
       std::cerr << '\n';
       return std::nullopt;
@@ -192,24 +196,24 @@
   }
   const auto seeds = seed_range(options.seeds);
   const auto kinds = read_kinds(options.kinds);
-  if (!seeds) std::cerr << "soak: --seeds takes N or A-B, not " << options.seeds << '\n';
-  if (!kinds) std::cerr << "soak: --kind takes kinds joined by +, not " << options.kinds << '\n';
+  if (!seeds) std::cerr << "soak: --seeds must be N or A-B, not " << options.seeds << '\n';
+  if (!kinds) std::cerr << "soak: --kind must be kinds joined by +, not " << options.kinds << '\n';
   if (!seeds || !kinds) return std::nullopt;
-  DrawOptions draw;
-  draw.length = Millis(options.seconds * 1000);
-  draw.kinds = *kinds;
-  if (options.invokers > 0) draw.invokers = options.invokers;
-  if (options.hosts > 0) draw.hosts = options.hosts;
+  GeneratorOptions generator;
+  generator.length = Millis(options.seconds * 1000);
+  generator.kinds = *kinds;
+  if (options.invokers > 0) generator.invokers = options.invokers;
+  if (options.hosts > 0) generator.hosts = options.hosts;
   std::vector<Schedule> schedules;
   for (std::uint64_t seed = seeds->first; seed <= seeds->second; ++seed) {
-    schedules.push_back(draw_schedule(seed, draw));
+    schedules.push_back(generate_schedule(seed, generator));
   }
   return schedules;
 }
 
 int run(const Options& options) {
   const auto schedules = schedules_of(options);
-  if (!schedules) return kWrongUsage;
+  if (!schedules) return kUsageError;
   nlohmann::json report = nlohmann::json::array();
   std::size_t failed = 0;
   for (const Schedule& schedule : *schedules) {
@@ -218,7 +222,7 @@
       continue;
     }
     if (stop_requested) break;
-    const SeedResult result = play_one(schedule, options);
+    const ScheduleResult result = play_one(schedule, options);
     print(result);
     report.push_back(json_of(result));
     failed += has_failed(result, options) ? 1 : 0;
@@ -235,22 +239,28 @@
 int main(int argc, char** argv) {
   using namespace pathstack::soak;
   Options options;
-  CLI::App app("Plays schedules of faults against real invokers and judges what was seen.");
+  CLI::App app(
+      "Plays schedules of faults against real invokers and checks their behaviour against the rules.");
   app.add_option("--seed,--seeds", options.seeds, "seed N, or seeds A-B");
-  app.add_option("--seconds", options.seconds, "length of each drawn schedule")->check(CLI::Range(2, 600));
-  app.add_option("--invokers", options.invokers, "processes; else drawn")->check(CLI::Range(1, 50));
-  app.add_option("--hosts", options.hosts, "stand-in workers; else drawn")->check(CLI::Range(4, 60));
+  app.add_option("--seconds", options.seconds, "length of each generated schedule")
+      ->check(CLI::Range(2, 600));
+  app.add_option("--invokers", options.invokers, "number of invoker processes; default: drawn from the seed")
+      ->check(CLI::Range(1, 50));
+  app.add_option("--hosts", options.hosts, "number of simulated workers; default: drawn from the seed")
+      ->check(CLI::Range(4, 60));
   app.add_option("--kind", options.kinds, "discovery, drains, hosts, signals, clients, machine; joined by +");
-  app.add_option("--schedule", options.schedule, "a schedule with a name, in place of seeds");
+  app.add_option("--schedule", options.schedule, "name of a predefined schedule, instead of seeds");
   app.add_option("--keep-logs", options.keep_logs, "folder for the invokers' logs");
-  app.add_option("--json", options.json_path, "file for the report");
-  app.add_option("--program", options.program, "the invoker to test");
+  app.add_option("--json", options.json_path, "file for the JSON report");
+  app.add_option("--program", options.program, "the invoker program to test");
+  app.add_option("--second-program", options.second_program,
+                 "a second invoker program, run by every other process, to test two builds side by side");
   app.add_flag("--busy-machine", options.busy_machine,
-               "print breaks that a busy machine could cause, without failing the schedule");
-  app.add_flag("--dry-run", options.dry_run, "print the schedules and play none");
+               "report violations that an overloaded machine can cause without failing the schedule");
+  app.add_flag("--dry-run", options.dry_run, "print the schedules without playing them");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) { return app.exit(error) == 0 ? 0 : kWrongUsage; }
+  } catch (const CLI::ParseError& error) { return app.exit(error) == 0 ? 0 : kUsageError; }
   std::signal(SIGINT, request_stop);
   std::signal(SIGTERM, request_stop);
   std::signal(SIGPIPE, SIG_IGN);
