--- a/src/resp/listener.h
+++ b/src/resp/listener.h
@@ -17,7 +17,8 @@
  public:
   virtual ~ListenerObserver() = default;
   /// Called for each accepted connection. `waiting_since` is the time since when the connection and its input
-  /// may have been waiting for the accept; empty if it was accepted without delay. May call `Listener::resume`.
+  /// may have been waiting for the accept; empty if it was accepted without delay. May call
+  /// `Listener::resume`.
   virtual void on_accepted(net::Socket socket, std::optional<core::Millis> waiting_since) = 0;
 };
 
