--- a/tests/invoker/random_faults_test.cpp
+++ b/tests/invoker/random_faults_test.cpp
@@ -331,7 +331,8 @@
   return answers == 0 ? 0 : static_cast<double>(served) / static_cast<double>(answers);
 }
 
-TEST_CASE("all rules hold for a few hundred calls while system calls fail at random", "[faults]") {
+TEST_CASE("all rules hold for a few hundred calls while system calls fail at random",
+          "[faults][random-faults]") {
   const auto seed = GENERATE(std::uint64_t{11}, std::uint64_t{1107}, std::uint64_t{90210});
   CAPTURE(seed);
   Session session(seed);
