--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -19,7 +19,7 @@
 /// rejected an attempt as full gets no attempts for a short random time; with a fixed time, many invokers
 /// would return together and keep it full.
 ///
-/// Owned by Policy; written by OutcomeRecorder, read by the parts that choose workers. Every call is O(1).
+/// Owned by Engine; written by OutcomeRecorder, read by the parts that choose workers. Every call is O(1).
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(const Settings& settings, const WorkerTable& workers, LoadReports& reports,
--- a/src/policy/function_table.h
+++ b/src/policy/function_table.h
@@ -61,7 +61,7 @@
 /// Owns the functions, in the order in which they were first requested. A Function keeps its address until it
 /// is pruned.
 ///
-/// Owned by Policy. An unused instance counts as unloaded after the keep-alive time of the settings. A load
+/// Owned by Engine. An unused instance counts as unloaded after the keep-alive time of the settings. A load
 /// order whose answer is lost or late times out; otherwise its function would wait for the answer forever. A
 /// function is pruned when nothing of it is queued, loaded or in flight and no request has named it for a
 /// while. Clients may request any function name, so functions are pruned sooner when there are many. expire,
--- a/src/policy/lease_renewal.h
+++ b/src/policy/lease_renewal.h
@@ -32,7 +32,7 @@
 /// - These orders count against the load budget. If a single worker is kept and the budget runs low, the last
 ///   queued requests are delayed a little, so that their answers renew its lease when that is due.
 ///
-/// Does nothing while the list is current, or if probes are allowed. Owned by Policy, called by Engine at
+/// Does nothing while the list is current, or if probes are allowed. Owned by Engine, called by Engine at
 /// each event and by Scheduler. update is O(kept workers), or O(workers) when a worker has to be chosen; the
 /// rest is O(1). For how many workers can be kept, see docs/incidents/2026-12-03-outage-without-probes.md.
 class LeaseRenewal {
--- a/src/policy/load_order_budget.h
+++ b/src/policy/load_order_budget.h
@@ -12,7 +12,7 @@
 /// from the time of the decision; src/core/load_budget.h enforces the same rule from the time of writing to
 /// the connection.
 ///
-/// Owned by Policy, queried by Scheduler and LeaseRenewal. Amortised O(1); stores the request and order times
+/// Owned by Engine, queried by Scheduler and LeaseRenewal. Amortised O(1); stores the request and order times
 /// of one window.
 class LoadOrderBudget {
  public:
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -20,7 +20,7 @@
 /// on. The messages also hold the number of the sender's recent requests, with which an invoker that is
 /// busier than the mean one can tell that it is.
 ///
-/// Owned by Policy. exchange is O(workers), the rest O(1) or O(fields of a report).
+/// Owned by Engine. exchange is O(workers), the rest O(1) or O(fields of a report).
 class LoadReports {
  public:
   LoadReports(const Settings& settings, const WorkerTable& workers, SlowStart& slow_start,
--- a/src/policy/membership_lease.h
+++ b/src/policy/membership_lease.h
@@ -21,7 +21,7 @@
 /// the settings allow no probes, only workers that are kept (see LeaseRenewal) and accept work or load orders
 /// often enough stay in use.
 ///
-/// Owned by Policy; used through OutlierDetector::is_usable and by Scheduler. Every call is O(1) but
+/// Owned by Engine; used through OutlierDetector::is_usable and by Scheduler. Every call is O(1) but
 /// withheld_count. Introduced after an incident: docs/incidents/2026-12-02-membership-outage.md.
 class MembershipLease {
  public:
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -26,7 +26,7 @@
 /// - A worker that is down counts as restarted when it answers again. Peers are notified at once, since a
 ///   worker that restarts before the list reports it would get the full load of many invokers.
 ///
-/// Owned by Policy. When a worker goes down, its instances are marked as gone in FunctionTable, which is
+/// Owned by Engine. When a worker goes down, its instances are marked as gone in FunctionTable, which is
 /// O(functions x instances); all other calls are O(1).
 class OutlierDetector {
  public:
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -12,7 +12,7 @@
 /// of a function without communicating. Each invoker orders these replicas differently, those in its own zone
 /// first. The other workers follow the replicas, in the order of their hashes.
 ///
-/// Owned by Policy, called by WorkerSelector. update is O(1) if neither the list of workers nor the number of
+/// Owned by Engine, called by WorkerSelector. update is O(1) if neither the list of workers nor the number of
 /// replicas has changed, otherwise O(workers x log workers).
 class Placement {
  public:
--- a/src/policy/service_times.h
+++ b/src/policy/service_times.h
@@ -20,7 +20,7 @@
 /// Run and load times: those of the function if it has samples, otherwise estimates from its class, from the
 /// load time that requests state, or from all functions.
 ///
-/// Owned by Policy; written by OutcomeRecorder, read by nearly all components. Every call is O(1); memory is
+/// Owned by Engine; written by OutcomeRecorder, read by nearly all components. Every call is O(1); memory is
 /// one record per class. All times are in milliseconds; 0 means that the time is unknown.
 class ServiceTimes {
  public:
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -18,7 +18,7 @@
 /// invokers the budget is less than one request per window; it is saved up from a random initial value, so
 /// that the invokers take turns.
 ///
-/// Owned by Policy; called by RetryPolicy for each candidate. is_warming_up is O(1), has_budget is O(workers)
+/// Owned by Engine; called by RetryPolicy for each candidate. is_warming_up is O(1), has_budget is O(workers)
 /// for a warming worker. Work is measured in milliseconds of run time.
 class SlowStart {
  public:
--- a/src/policy/worker_selector.h
+++ b/src/policy/worker_selector.h
@@ -18,7 +18,7 @@
 /// admission, retries and placement. Changes no state except the cached candidates of the function and
 /// the budgets of workers in slow start, which are refilled when they are queried.
 ///
-/// Owned by Policy, called by Scheduler. usable_slots and warm_instance are O(instances of the function),
+/// Owned by Engine, called by Scheduler. usable_slots and warm_instance are O(instances of the function),
 /// load_candidate is O(workers).
 class WorkerSelector {
  public:
--- a/src/policy/worker_table.h
+++ b/src/policy/worker_table.h
@@ -40,7 +40,7 @@
 
 /// Applies endpoint lists and watch events.
 ///
-/// Owned by Policy, which passes the changes to the other parts. Any change of a nonzero start stamp counts
+/// Owned by Engine, which passes the changes to the other parts. Any change of a nonzero start stamp counts
 /// as a restart, also to an earlier time, since stamps come from wall clocks that may be stepped. A worker
 /// gone for kPruneAfter is pruned; ids are not used again. apply and prune are O(workers), the rest is O(1).
 class WorkerTable {
