--- a/src/feed/list_lease.h
+++ b/src/feed/list_lease.h
@@ -15,9 +15,8 @@
 ///
 /// - A stop of the log cannot be observed, and may have begun right after the last line. So the lease is
 ///   renewed by each line that shows that no event is missing, and by nothing else.
-/// - A lost connection ends the lease at once, as an event lost in transit may count from when it was
-/// written.
-///   A change that is written after the loss counts as delivered 2 s after the loss, or once the invoker
+/// - A lost connection ends the lease at once, as an event lost in transit may count from its writing on. A
+///   change that is written after the loss counts as delivered 2 s after the loss, or once the invoker
 ///   requests events again.
 ///
 /// The caller passes the time; every call is O(1).
