--- a/src/hosts/connection.cpp
+++ b/src/hosts/connection.cpp
@@ -8,11 +8,15 @@
 
 using core::Outcome;
 
-constexpr Millis kSuspectAfterSilence{
-    400};  // an attempt cancelled after such a silence: the host may be cut off
-constexpr double kDrainGraceShare = 0.8;  // what has not left by then never will
-constexpr Millis kMinDrainGrace{50};      // the limits on sockets are longer by so much
-constexpr double kIdleShare = 0.8;        // closed before the host does, or an attempt could cross that
+// After a silence of this length, a cancelled attempt makes the connection suspect: the host may be
+// unreachable.
+constexpr Millis kSuspectAfterSilence{400};
+// A draining connection ends after this share of the drain grace if bytes are still unsent.
+constexpr double kDrainGraceShare = 0.8;
+constexpr Millis kMinDrainGrace{50};  // the platform's limits on sockets exceed the drain grace by this much
+// Share of the host's idle time-out after which an idle connection is closed: an attempt could otherwise
+// cross with the close by the host.
+constexpr double kIdleShare = 0.8;
 
 core::Counter answer_counter(Outcome outcome) {
   switch (outcome) {
@@ -73,16 +77,17 @@
   const auto cancelled = attempts_.remove(*ref);
   if (!cancelled->message.written) return false;
   const Millis now = loop().now();
-  // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
+  // A host that is unreachable stays silent. Later requests use a new connection, which shows whether the
+  // host can be reached.
   const Millis silent_since = std::max(monitor_.liveness().last_received(), cancelled->added_at);
   if (now - silent_since > kSuspectAfterSilence) suspect_ = true;
-  // At once: the next attempt may leave on another connection in this very turn.
+  // Flushed immediately, as the next attempt may be sent on another connection in the same turn.
   write(encode_cancel(*ref));
   history_.cancelled(*ref, now, outbox().appended());
   const bool flushed = flush_now();
-  if (!flushed) end_later();  // the host reads nothing; closing gives the attempt up
+  if (!flushed) end_later();  // the host does not read; closing the connection cancels the attempt
   update_idle_timer();
-  // What was not handed over completely by now never will be.
+  // If the attempt is incomplete at this point, its rest is never sent.
   return cancelled->message.has_left(outbox());
 }
 
@@ -115,7 +120,7 @@
   retired_ = true;
   if (connecting()) return end_later();
   if (!outbox().empty()) {
-    // Bytes that a host does not read could leave long after the list has called it draining.
+    // Bytes that the host does not read could be sent long after the list of hosts reported the drain.
     loop().cancel(drain_timer_);
     const Millis grace = std::max(limits_.drain_grace * kDrainGraceShare, kMinDrainGrace);
     drain_timer_ = loop().at(loop().now() + grace, [this] {
@@ -151,7 +156,7 @@
   for (auto& reply : replies) {
     if (ending()) return;
     if (handle_answer(std::move(reply))) continue;
-    well_formed = false;  // what follows it proves no more than it does
+    well_formed = false;  // replies after a malformed one are not trusted
     break;
   }
   if (!well_formed) {
@@ -161,7 +166,7 @@
   update_idle_timer();
 }
 
-// False if it is malformed: whatever is open here then ends as what it is, something that may have run.
+// Returns false if the reply is malformed. Open attempts then end as attempts that may have run.
 bool Connection::handle_answer(Reply&& reply) {
   auto answer = decoder_.decode(std::move(reply));
   if (!answer) return false;
@@ -194,10 +199,10 @@
 
 void Connection::handle_unexpected_answer(const std::string& id) {
   if (history_.record_late_answer(id, loop().now()) == RefHistory::LateAnswer::first) {
-    counters_.add(core::Counter::hosts_late_answers);  // to an attempt cancelled meanwhile
+    counters_.add(core::Counter::hosts_late_answers);  // of an attempt that was cancelled in the meantime
     return;
   }
-  // More than belongs to it: what is open here keeps its own answers, nothing new is sent.
+  // The answer belongs to no request. Open requests still take their own answers; no new one is accepted.
   counters_.add(core::Counter::hosts_surplus_answers);
   retire();
 }
@@ -208,7 +213,7 @@
   report_request_end(request, Outcome::timeout, 0, std::nullopt);
 }
 
-// The end of a health check concerns nobody else.
+// The end of a health check is not reported.
 void Connection::report_request_end(const OpenRequest& request, Outcome outcome, int instances,
                                     core::Report report) {
   const Millis elapsed = loop().now() - request.added_at;
@@ -219,7 +224,7 @@
   }
 }
 
-// Restarts the wait for the end of an unused connection; none runs while anything is open.
+// Restarts the idle timer. No idle timer runs while a request is open.
 void Connection::update_idle_timer() {
   if (connecting()) return;
   loop().cancel(idle_timer_);
@@ -231,8 +236,8 @@
 
 void Connection::backlog_discarded() { counters_.add(core::Counter::hosts_unread_closed); }
 
-// Only a close or a reset shows that the process may have died: a network that gave up, a silence or an
-// answer that can't be understood does not.
+// Only a close or a reset by the host indicates that its process may have died. A network failure, a silent
+// host or a malformed answer does not.
 Outcome Connection::outcome_at_end(const SentMessage& message) const {
   if (!message.has_left(outbox())) return Outcome::connect_failed;
   const bool ended_by_host =
@@ -244,7 +249,7 @@
   cancel_timers();
   const auto attempts = attempts_.remove_all();
   const auto requests = requests_.remove_all();
-  observer_.on_connection_closed(*this);  // this object lives to the turn's end
+  observer_.on_connection_closed(*this);  // this object stays alive until the end of the turn
   if (!monitor_.liveness().ever_connected()) counters_.add(core::Counter::hosts_links_refused);
   for (const auto& open : attempts) {
     observer_.on_attempt_ended(open.attempt, {outcome_at_end(open.message), 0, std::nullopt, {}});
--- a/src/hosts/connection.h
+++ b/src/hosts/connection.h
@@ -1,4 +1,4 @@
-/// One connection to a process of a host.
+/// A connection to one process of a host.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 
 class Connection;
 
-/// What a connection reports to. Except `take_load_budget` and `may_still_write`, calls come from the event
-/// loop, never from inside a method of the connection's.
+/// Receives the events of a connection. All methods except `take_load_budget` and `may_still_write` are
+/// called from the event loop, never from inside a method of the connection.
 class ConnectionObserver {
  public:
   ConnectionObserver() = default;
@@ -30,32 +30,33 @@
   ConnectionObserver(const ConnectionObserver&) = delete;
   ConnectionObserver& operator=(const ConnectionObserver&) = delete;
 
-  /// An attempt has its answer, or can't get one any more. Not called for attempts that were cancelled.
+  /// An attempt was answered, or can no longer be answered. Not called for cancelled attempts.
   virtual void on_attempt_ended(const core::Attempt& attempt, core::AttemptEnd&& end) = 0;
-  /// A load order was answered, timed out or lost its connection.
+  /// A load order was answered, timed out, or lost its connection.
   virtual void on_load_ended(core::LoadOutcome&& end) = 0;
-  /// As `on_load_ended`, of a probe.
+  /// A probe was answered, timed out, or lost its connection.
   virtual void on_probe_ended(core::ProbeOutcome&& end) = 0;
-  /// Comes before the ends of what was open on the connection; the observer gives up its reference.
+  /// The connection has ended. Called before the ends of its open requests are reported; the observer
+  /// releases its reference to the connection.
   virtual void on_connection_closed(Connection& connection) = 0;
-  /// Asked when a load order is about to be written; false if it must not be.
+  /// Called immediately before a load order is written; false if the order must not be written.
   virtual bool take_load_budget() = 0;
-  /// Asked for a call or load order that has waited for its connection since `added_at`; false if it must not
-  /// be written any more.
+  /// Whether an attempt or load order that was queued at `added_at` for its connection to be established may
+  /// still be written.
   virtual bool may_still_write(Millis added_at) = 0;
 };
 
-/// A connection to one process of a host: carries attempts, load orders and probes, and ends itself when the
-/// host is silent, sends what can't be understood, or reads nothing.
+/// A connection to one process of a host: carries attempts, load orders and probes, and ends itself if the
+/// host is unresponsive, sends malformed input, or does not read.
 ///
-/// Decides which of the open requests an answer belongs to and when the connection may be used and has to
-/// end. The forms of the messages are `wire.h`, the open requests `OpenAttempts` and `OpenRequests`. Owned by
-/// `ConnectionPool`; used on the loop's thread only. Until the connection is up its messages wait, and can
-/// still be taken back.
+/// Matches answers to open requests, and decides when the connection may be used and when it ends. `wire.h`
+/// encodes the messages; `OpenAttempts` and `OpenRequests` track the open requests. Messages that are added
+/// before the connection is established are queued and can still be removed unsent. Owned by
+/// `ConnectionPool`; used on the thread of the event loop only.
 class Connection final : public net::Stream {
  public:
-  /// `socket` is connecting; the references must outlive this object. Ends after `limits.connect_timeout`
-  /// unless it is up by then.
+  /// `socket` is connecting; the references must outlive this object. The connection ends if it is not
+  /// established within `limits.connect_timeout`.
   Connection(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Limits& limits,
              ConnectionObserver& observer, std::string host, net::Socket socket);
   ~Connection() override;
@@ -64,39 +65,42 @@
 
   /// The id of the host.
   const std::string& host() const { return host_; }
-  /// Attempts, load orders, probes and health checks that are open here.
+  /// The number of open attempts, load orders, probes and health checks.
   std::size_t load() const { return attempts_.size() + requests_.size(); }
-  /// True if the connection is up and has nothing open or unsent.
+  /// True if the connection is established and has no open request and no unsent bytes.
   bool idle() const { return open() && load() == 0 && outbox().empty(); }
-  /// When bytes last came, or something was last sent.
+  /// When bytes last arrived or a message was last sent.
   Millis last_used() const { return monitor_.liveness().last_used(); }
-  /// True if it ever came up.
+  /// True if the connection was ever established.
   bool was_up() const { return monitor_.liveness().ever_connected(); }
-  /// True once the host runs another process than the one that it leads to.
+  /// True once another process has replaced the one at the other end of the connection.
   bool is_replaced() const { return replaced_; }
-  /// False once the process that it leads to was replaced: it does not count among the new one's connections.
+  /// True if the connection counts against the limit for its host: it is connecting or established, and its
+  /// process was not replaced.
   bool counts_for_host() const { return (open() || connecting()) && !replaced_; }
-  /// True if an attempt may go out here under `ref`; empty for an order or a probe. Cost: logarithmic in the
-  /// open attempts.
+  /// True if an attempt may be sent under `ref`, or a load order or probe if `ref` is empty. Cost:
+  /// logarithmic in the open attempts.
   bool accepts(const std::string& ref) const;
 
-  /// Sends an attempt of `call`, whose ref must be accepted. `timeout` is the time that its client has left.
+  /// Sends an attempt of `call`. `accepts` must be true for its ref. `timeout` is the time that its client
+  /// has left.
   void exec(const core::Attempt& attempt, const core::Call& call, Millis timeout);
-  /// Gives the attempt up; true if it may have run. Its end is not reported. Cost: linear in the open
+  /// Cancels the attempt; returns true if it may have run. Its end is not reported. Cost: linear in the open
   /// attempts.
   bool cancel(const core::Attempt& attempt);
   /// Orders `instances` instances of `function`. `tag` must be unique on this connection, as for `probe`.
   void order_load(const std::string& tag, std::uint64_t function, int instances);
-  /// Asks for a load report.
+  /// Requests a load report.
   void probe(const std::string& tag);
-  /// Lets the host unload `function`. Nothing is reported.
+  /// Allows the host to unload `function`. No outcome is reported.
   void unload(std::uint64_t function);
 
-  /// Nothing new goes here, and what is open ends by itself.
+  /// Stops accepting new requests; open requests continue until they end.
   void retire();
-  /// The host is draining or gone: as `retire`, and what has not gone out within the grace never will.
+  /// Retires the connection, as its host is draining or gone. Also ends the connection if bytes are still
+  /// unsent at the end of the drain grace.
   void drain();
-  /// The host runs a new process, or another host has its address: as `drain`, for good.
+  /// Drains the connection for good, as its host runs a new process or another host has its address.
   void mark_replaced();
 
  private:
@@ -110,10 +114,10 @@
   OpenAttempts attempts_;
   OpenRequests requests_;
   LivenessMonitor monitor_;
-  bool retired_ = false;             // nothing new goes here
-  bool replaced_ = false;            // its host runs another process now
-  bool suspect_ = false;             // it had been silent for long when an attempt was cancelled
-  net::Loop::TimerId idle_timer_{};  // while connecting, the connect time-out
+  bool retired_ = false;   // accepts no new requests
+  bool replaced_ = false;  // its host runs another process
+  bool suspect_ = false;   // accepts nothing until bytes arrive, as the host was silent before a cancel
+  net::Loop::TimerId idle_timer_{};  // the connect time-out while connecting
   net::Loop::TimerId drain_timer_{};
 
   void connected() override;
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -14,7 +14,7 @@
 ConnectionPool::ConnectionPool(net::Loop& loop, net::BufferPool& pool, core::Counters& counters,
                                Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)) {
-  // Where a connection carries few calls, a fixed number of them would keep a host's slots empty.
+  // With few attempts per connection, a fixed number of connections would leave slots of a host unused.
   limits_.max_connections_per_host = std::max(
       limits_.max_connections_per_host, limits_.max_calls_per_host / limits_.max_attempts_per_connection);
 }
@@ -41,7 +41,8 @@
       host.member.entry.state = WorkerState::gone;
       host.drain();
     }
-    // Hosts that are gone are forgotten with their last connection, or every deploy would leave some behind.
+    // Hosts that are gone are removed with their last connection; otherwise their number would grow with
+    // every deployment.
     const bool forgotten = host.member.entry.state == WorkerState::gone && host.connections.empty();
     if (forgotten) index_address(i->first, host.member.address, {});
     i = forgotten ? hosts_.erase(i) : std::next(i);
@@ -52,8 +53,8 @@
   const std::string& id = member.entry.worker;
   Host& host = hosts_[id];
   const bool known = !host.member.entry.worker.empty();
-  // Stamps come from the host's wall clock, which may be stepped back: any change is a restart. Zero says
-  // nothing: entries of hosts that drain or are gone need not have a stamp.
+  // Start times are taken from the wall clock of the host, which may be stepped back, so any change is a
+  // restart. Zero means unknown: entries of draining or gone hosts need not have a start time.
   const Millis previous_start = host.member.entry.started;
   const bool has_start = member.entry.started.count() != 0;
   const bool moved = member.address != host.member.address;
@@ -66,7 +67,7 @@
   mark_others_replaced(member.address, id);
 }
 
-// A new host may stand at the address of one that is gone, and be taken for it.
+// A new host can have the address of one that is gone; connections to the old host must not be used for it.
 void ConnectionPool::mark_others_replaced(const std::string& address, const std::string& id) {
   const auto [first, last] = ids_by_address_.equal_range(address);
   for (auto other = first; other != last; ++other) {
@@ -74,7 +75,7 @@
   }
 }
 
-// An empty address is not kept.
+// Moves `id` in the index from address `before` to `now`. Empty addresses are not indexed.
 void ConnectionPool::index_address(const std::string& id, const std::string& before, const std::string& now) {
   const auto [first, last] = ids_by_address_.equal_range(before);
   const auto found = std::find_if(first, last, [&](const auto& entry) { return entry.second == id; });
@@ -95,7 +96,7 @@
   return host == nullptr ? ConnectionChoice{} : connection_for(*host, ref);
 }
 
-// The least loaded one that takes `ref`, or else a new one.
+// Chooses the least loaded connection that accepts `ref`, or opens a new one.
 ConnectionPool::ConnectionChoice ConnectionPool::connection_for(Host& host, const std::string& ref) {
   Connection* least_loaded = nullptr;
   std::size_t counted = 0;
@@ -105,7 +106,7 @@
     if (least_loaded == nullptr || connection->load() < least_loaded->load()) least_loaded = connection.get();
   }
   if (least_loaded != nullptr) return {least_loaded};
-  // With more hosts than connections may be up, those to hosts used a while ago would keep out all others.
+  // With more hosts than allowed connections, idle connections would otherwise make other hosts unreachable.
   const bool may_open = counted < limits_.max_connections_per_host &&
                         (connections_ < limits_.max_connections || close_idle_connection());
   if (may_open) return open_connection(host);
@@ -129,7 +130,7 @@
   return {host.connections.back().get()};
 }
 
-// Ends the one longest unused; false if none is idle.
+// Ends the least recently used idle connection; returns false if none is idle.
 bool ConnectionPool::close_idle_connection() {
   std::shared_ptr<Connection> oldest;
   for (const auto& [id, host] : hosts_) {
@@ -141,12 +142,12 @@
   if (!oldest) return false;
   counters_.add(core::Counter::hosts_idle_ended);
   oldest->end_later();
-  oldest->flush();  // at once: its descriptor is needed
+  oldest->flush();  // immediately, as its descriptor is needed
   return true;
 }
 
-// The host's failure is reported at once; a local fault after a backoff, but well within `timeout`: past that
-// the attempt would be taken for one that its host has kept waiting.
+// Reports a failure of the host immediately, and a local fault after a backoff. The backoff is capped at
+// half of `timeout`: a report after the time-out would be taken for a host that did not answer.
 void ConnectionPool::report_failure(Outcome failure, Millis timeout, std::function<void()> report) {
   const Millis now = loop_.now();
   const bool local = failure == Outcome::not_sent;
@@ -211,8 +212,8 @@
 
 bool ConnectionPool::take_load_budget() { return dispatcher_->take_load_budget(); }
 
-// The module decides by leases that end within the grace; what waits much longer may leave after a drain that
-// counts as told.
+// The decision module uses leases that end within the drain grace. A message that is queued much longer could
+// be sent after a drain that counts as delivered.
 bool ConnectionPool::may_still_write(Millis added_at) {
   const Millis now = loop_.now();
   if (now <= list_current_until_) return true;
--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -1,8 +1,6 @@
-/// The pool of connections to worker processes: attempts, probes and load orders go out here, and their ends
-/// come back.
+/// The pool of connections to worker hosts: sends attempts, probes and load orders, and reports their ends.
 ///
-/// A worker of the decision module is a host on the wire. Both words name the same process; here, as in the
-/// line protocol, it is a host.
+/// A worker of the decision module is called a host here, as in the line protocol.
 #pragma once
 
 #include <functional>
@@ -23,13 +21,13 @@
 
 namespace pathstack::hosts {
 
-/// Owns all connections to hosts, opened as they are needed and bounded for each host and in all.
+/// Owns all connections to hosts. Opens them on demand, within limits per host and in total.
 ///
-/// Enforces the drain rule: nothing new goes to a host that the last list does not call ready. What can't be
-/// sent ends with an outcome of its own: `not_sent` if the fault is this machine's or no connection may be
-/// opened, `connect_failed` if it is the host's. Ends are reported to the dispatcher from the event loop,
-/// never from inside a method of this class. Used on the loop's thread only; must outlive the last turn of
-/// the loop that may call a connection.
+/// Enforces the drain rule: no new request is sent to a host that is not ready in the latest list of hosts. A
+/// request that cannot be sent ends with `not_sent` if the fault is local or no connection may be opened, and
+/// with `connect_failed` if the fault is the host's. Ends are reported to the dispatcher from the event
+/// loop, never from inside a method of this class. Used on the thread of the event loop only; must outlive
+/// the last turn of the loop that may call a connection.
 class ConnectionPool final : public core::Hosts, private ConnectionObserver {
  public:
   /// The references must outlive this object.
@@ -38,31 +36,34 @@
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  /// Sets whom ends are reported to. Once, before anything else is called; `dispatcher` must outlive this.
+  /// Sets the receiver of ends. Must be called once, before any other method; `dispatcher` must outlive this
+  /// object.
   void attach(core::Dispatcher& dispatcher) { dispatcher_ = &dispatcher; }
 
-  /// Takes a complete list of hosts or a change of it. Cost: a walk of all hosts, and constant for each row.
+  /// Applies a complete list of hosts, or a change to the list. Cost: linear in the known hosts and in the
+  /// list.
   void members(const core::MemberList& list);
 
-  /// Changes of the list that were not received may count as told from `until` on. Past that, calls and load
-  /// orders that have waited for their connection are not written any more. Without a call the list is always
-  /// current.
+  /// Sets the time until which the list of hosts is current. After `until`, a change that was not received
+  /// may count as delivered, so attempts and load orders that were queued for their connection for too long
+  /// are no longer written. The list is always current if this method is never called.
   void list_lease(Millis until) { list_current_until_ = until; }
 
-  /// What connections report to.
+  /// The observer of all connections.
   ConnectionObserver& observer() { return *this; }
 
-  /// Sends an attempt of `call` to host `id`, with the time `timeout` that its client has left. Cost: a walk
-  /// of the host's connections; of all connections if as many are up as may be.
+  /// Sends an attempt of `call` to host `id`; `timeout` is the time that its client has left. Cost: linear in
+  /// the connections of the host, or in all connections if `Limits::max_connections` are open.
   void send_attempt(const core::Attempt& attempt, const std::string& id, const core::Call& call,
                     Millis timeout) override;
-  /// Gives an attempt up; true if it may have run. Cost: linear in the attempts of its connection.
+  /// Cancels an attempt; returns true if it may have run. Cost: linear in the open attempts of its
+  /// connection.
   bool cancel(const core::Attempt& attempt) override;
-  /// Asks host `id` for a load report. Cost as of `exec`.
+  /// Requests a load report of host `id`. Cost as for `send_attempt`.
   void probe(const std::string& id) override;
-  /// Orders `instances` instances of `function` at host `id`. Cost as of `exec`.
+  /// Orders `instances` instances of `function` at host `id`. Cost as for `send_attempt`.
   void order_load(const std::string& id, std::uint64_t function, int instances) override;
-  /// Lets host `id` unload `function`. No end is reported. Cost as of `exec`.
+  /// Allows host `id` to unload `function`. No outcome is reported. Cost as for `send_attempt`.
   void unload(const std::string& id, std::uint64_t function) override;
 
  private:
@@ -73,7 +74,7 @@
     void drain();
     void mark_replaced();
   };
-  /// A connection, or the outcome of what was to go over it.
+  /// A connection, or the outcome of the request if there is none.
   struct ConnectionChoice {
     Connection* connection = nullptr;
     core::Outcome failure = core::Outcome::not_sent;
@@ -87,7 +88,7 @@
   std::map<std::string, Host> hosts_;
   std::unordered_multimap<std::string, std::string> ids_by_address_;
   std::map<core::Attempt, Connection*> attempts_;
-  std::size_t connections_ = 0;  // to all hosts
+  std::size_t connections_ = 0;  // number of connections to all hosts
   std::uint64_t last_tag_ = 0;
   LocalFaultBackoff local_fault_backoff_;
   Millis list_current_until_{std::numeric_limits<double>::infinity()};
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -60,7 +60,7 @@
   const bool complete = end != std::string_view::npos;
   line_.append(bytes.substr(0, std::min(end, kMaxLine + 1)));
   bytes.remove_prefix(complete ? end + 1 : bytes.size());
-  // Guards memory against a line without an end.
+  // Bounds the memory that an unterminated line can take.
   const bool too_long = line_.size() > kMaxLine;
   const bool wrong_end = complete && (line_.empty() || line_.back() != '\r');
   if (too_long || wrong_end) {
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -1,5 +1,5 @@
-/// Cuts the bytes of the hosts' line protocol into replies: lines of words, some with a body of a stated
-/// length, in whatever pieces they come.
+/// Incremental parser of the hosts' line protocol: splits a byte stream into replies, which are lines of
+/// words, some followed by a body of a stated length.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +10,22 @@
 
 namespace pathstack::hosts {
 
-/// One line of the protocol with its body, not yet decoded.
+/// One line of the protocol with its body, not decoded.
 struct Reply {
-  std::string id, word, fields;     // fields: empty for '-'
-  std::optional<std::string> body;  // absent: no length was given
+  std::string id, word, fields;     // `fields` is empty if the line has '-' in its place
+  std::optional<std::string> body;  // absent if the line states no length
 };
 
-/// Parses one connection's input. Memory: one line, or one body, within the limits below.
+/// Parses the input of one connection. Buffers at most one line or one body, within the limits below.
 class LineParser {
  public:
-  static constexpr std::size_t kMaxLine = 2048;  // bytes, the CR included
-  static constexpr std::size_t kMaxBody = std::size_t{1} << 20;
+  static constexpr std::size_t kMaxLine = 2048;                  // bytes, including the CR
+  static constexpr std::size_t kMaxBody = std::size_t{1} << 20;  // bytes
 
-  /// Takes all bytes; complete replies are added to `out`. False once the stream cannot be understood any
-  /// more, for good. Cost: linear in the bytes.
+  /// Consumes all of `bytes` and appends complete replies to `out`. Returns false once the stream is
+  /// malformed, and on every later call. Cost: linear in the number of bytes.
   bool take(std::string_view bytes, std::vector<Reply>& out);
-  /// True if a reply has begun and its rest has to come.
+  /// True if the start of a reply was received and its end was not.
   bool has_partial_reply() const { return state_ == State::body || !line_.empty(); }
 
  private:
@@ -34,7 +34,7 @@
   std::string line_;
   Reply reply_;
   std::size_t body_left_ = 0;
-  std::size_t line_end_received_ = 0;  // bytes of the CR LF after a body
+  std::size_t line_end_received_ = 0;  // bytes received of the CR LF after a body
 
   void take_line(std::string_view& bytes, std::vector<Reply>& out);
   void take_body(std::string_view& bytes);
--- a/src/hosts/liveness.cpp
+++ b/src/hosts/liveness.cpp
@@ -6,11 +6,12 @@
 namespace pathstack::hosts {
 namespace {
 
-constexpr Millis kMinSilence{200};      // a connection in use is checked once silent for so long,
-constexpr double kSilenceShare = 0.15;  // and for this part of the call's time-out over the calls open on it
-constexpr Millis kCheckTimeout{250};    // a health check is answered beside the queue
-constexpr Millis kPartialTimeout{
-    200};  // an answer that has begun is complete by then, or its rest never comes
+// A connection in use needs a health check after a silence of `kSilenceShare` of the attempt's time-out,
+// divided by the number of open attempts, but of `kMinSilence` at least.
+constexpr Millis kMinSilence{200};
+constexpr double kSilenceShare = 0.15;
+constexpr Millis kCheckTimeout{250};    // health checks bypass the queue of the host
+constexpr Millis kPartialTimeout{200};  // the rest of an answer that takes longer never arrives
 
 }  // namespace
 
--- a/src/hosts/liveness_monitor.cpp
+++ b/src/hosts/liveness_monitor.cpp
@@ -48,7 +48,8 @@
   set_timer();
 }
 
-// What has waited only since a stall of this program's own loop, no host has refused yet.
+// An attempt can be overdue because this program's event loop stalled. So a flush is tried before the host is
+// held to have stopped reading.
 bool LivenessMonitor::has_stalled_attempt(Millis now) {
   return attempts_.has_overdue(now) && !stream_.flush_now() && attempts_.has_overdue(now);
 }
--- a/src/hosts/liveness_monitor.h
+++ b/src/hosts/liveness_monitor.h
@@ -1,4 +1,5 @@
-/// Checks one connection to a host while anything is open on it, and ends it when the host has failed.
+/// Monitors one connection to a host while any request is open on it, and ends the connection if the host has
+/// failed.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +13,26 @@
 
 namespace pathstack::hosts {
 
-/// Owns the timer of a connection's liveness checks and acts on the verdicts of `Liveness`: sends health
-/// checks, and ends a connection whose host is silent, stops in the midst of an answer, or takes in no
-/// attempt. Owned by a connection and used on its thread only. A check costs a walk of the open attempts.
+/// Runs the periodic liveness check of a connection and acts on the state that `Liveness` reports: sends
+/// health checks, and ends a connection whose host is unresponsive, stops in the middle of an answer, or does
+/// not read an attempt. Owned by a connection and used on its thread only. Cost of a check: linear in the
+/// open attempts.
 class LivenessMonitor {
  public:
-  /// The references must outlive this object. Without `probes` no health check is sent.
+  /// The references must outlive this object. No health check is sent if `probes` is false.
   LivenessMonitor(net::Loop& loop, net::Stream& stream, core::Counters& counters, OpenAttempts& attempts,
                   OpenRequests& requests, bool probes);
   ~LivenessMonitor() { stop(); }
   LivenessMonitor(const LivenessMonitor&) = delete;
   LivenessMonitor& operator=(const LivenessMonitor&) = delete;
 
-  /// What is known of the connection. Its `sent` and `checked` are called by this class.
+  /// The state of the connection. This class calls `sent` and `checked` of it; the owner reports the rest.
   Liveness& liveness() { return liveness_; }
   const Liveness& liveness() const { return liveness_; }
 
-  /// Something was sent, or waits to be: checks go on until nothing is open.
+  /// Records that a message was sent or queued, and keeps checking until no request is open.
   void watch();
-  /// No check follows.
+  /// Stops the periodic check.
   void stop() { loop_.cancel(timer_); }
 
  private:
--- a/src/hosts/local_fault_backoff.h
+++ b/src/hosts/local_fault_backoff.h
@@ -1,4 +1,4 @@
-/// How long a failure to begin a connection is kept back when the fault is this machine's.
+/// Delays reports of connection failures that are due to a fault of this machine.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,12 @@
 
 using core::Millis;
 
-/// Exponential backoff on local faults (no descriptor, no port, no route): reported at once, a lasting one
-/// would cost a call thousands of attempts in place of some tens. Knows no clock; every call is O(1).
+/// Exponential backoff on local faults (no descriptor, no port, no route). Without the delay, a lasting fault
+/// would cost a call thousands of attempts instead of some tens. Uses no clock; every call is O(1).
 class LocalFaultBackoff {
  public:
-  /// Returns how long to wait after a fault at `now`. Doubles from 4 to 64 ms while no connection can be
-  /// begun, once for all the faults that fall into one wait.
+  /// Returns the delay of the report of a fault at `now`. The delay doubles from 4 to 64 ms until a connect
+  /// is started; all faults within one delay share it.
   Millis next(Millis now) {
     if (delay_.count() == 0 || now >= delay_end_) {
       delay_ = std::clamp(delay_ * 2, kMinDelay, kMaxDelay);
@@ -23,14 +23,14 @@
     return delay_;
   }
 
-  /// A connection was begun.
+  /// Resets the delay, as a connect was started.
   void reset() { delay_ = Millis(0); }
 
  private:
   static constexpr Millis kMinDelay{4};
   static constexpr Millis kMaxDelay{64};
-  Millis delay_{0};      // 0: a connection was begun since the latest fault
-  Millis delay_end_{0};  // until when faults are kept back for as long
+  Millis delay_{0};      // 0 if a connect was started since the latest fault
+  Millis delay_end_{0};  // until when faults share `delay_`
 };
 
 }  // namespace pathstack::hosts
--- a/src/hosts/open_attempts.cpp
+++ b/src/hosts/open_attempts.cpp
@@ -6,9 +6,9 @@
 namespace pathstack::hosts {
 namespace {
 
-constexpr Millis kMinTimeout{1};  // the least that the protocol can state
-// An attempt carries the time that its client has left. One that leaves later than this, or an interval of
-// the liveness checks more, would carry more than is left.
+constexpr Millis kMinTimeout{1};  // the smallest time-out that the protocol can express
+// An attempt carries the time that its client has left when it is written. An attempt that stays unsent for
+// longer than this, plus up to one interval of the liveness checks, would state more time than is left.
 constexpr Millis kMaxUnsentAge{80};
 
 }  // namespace
@@ -43,7 +43,7 @@
   return stopped;
 }
 
-// Nothing is written past the client's time; the dispatcher cancels the attempt in its next turn.
+// Writes nothing if the client has no time left; the dispatcher cancels such an attempt in its next turn.
 void OpenAttempts::write(const ExecRequest& request, Millis now, Millis timeout, OpenAttempt& open) {
   if (timeout < kMinTimeout) return;
   stream_.write(encode_exec(request, timeout));
--- a/src/hosts/open_attempts.h
+++ b/src/hosts/open_attempts.h
@@ -15,16 +15,16 @@
 
 namespace pathstack::hosts {
 
-/// Where a message stands in the bytes that its connection sends.
+/// The position of a message in the output stream of its connection.
 struct SentMessage {
-  bool written = false;   // its bytes stand in the outbox or went out
-  std::uint64_t end = 0;  // offset behind its last byte
+  bool written = false;   // to the outbox
+  std::uint64_t end = 0;  // offset after its last byte
 
-  /// True if the kernel has all its bytes: the host may have read it.
+  /// True if all bytes were handed to the kernel, so that the host may have read the message.
   bool has_left(const net::Outbox& outbox) const { return written && outbox.written() >= end; }
 };
 
-/// An attempt that has neither its answer nor been given up.
+/// An attempt that was neither answered nor cancelled.
 struct OpenAttempt {
   core::Attempt attempt;
   SentMessage message;
@@ -32,8 +32,9 @@
   Millis written_at{0};
 };
 
-/// Writes attempts to a connection and keeps them until they end. Those added while the connection is not
-/// yet up wait here, where they can be taken back. Owned by a connection and used on its thread only.
+/// Writes attempts to a connection and tracks them until they end. Attempts that are added while the
+/// connection is being established are queued here and can still be removed unsent. Owned by a connection and
+/// used on its thread only.
 class OpenAttempts {
  public:
   /// `stream` must outlive this object.
@@ -41,32 +42,33 @@
 
   std::size_t size() const { return by_ref_.size(); }
   bool contains(const std::string& ref) const { return by_ref_.count(ref) != 0; }
-  /// The time-out of the attempt added last.
+  /// The time-out of the most recently added attempt.
   Millis last_timeout() const { return last_timeout_; }
 
-  /// Sends an attempt, or keeps it for the connection. Its ref must not be open. Cost: logarithmic in the
-  /// open attempts, linear in the body.
+  /// Sends an attempt, or queues it until the connection is established. No attempt may be open under the
+  /// same ref. Cost: logarithmic in the open attempts, linear in the body.
   void add(const core::Attempt& attempt, const core::Call& call, Millis now, Millis timeout);
-  /// Asked for what has waited since the given time; false if it must not be written any more.
+  /// Whether a message that was queued at `added_at` may still be written.
   using MayWrite = std::function<bool(Millis added_at)>;
-  /// The connection is up: writes what has waited and has time left. Removes and returns what must not be
-  /// written.
+  /// Writes the queued attempts, as the connection is established; those without time left stay open and
+  /// unwritten. Removes and returns the attempts that `may_write` rejects.
   std::vector<OpenAttempt> connected(Millis now, const MayWrite& may_write);
 
-  /// The ref of `attempt`, if it is open. Cost: linear in the open attempts.
+  /// The ref of `attempt`; nothing if it is not open. Cost: linear in the open attempts.
   std::optional<std::string> ref_of(const core::Attempt& attempt) const;
-  /// Removes the attempt under `ref` and returns it; nothing if none is open. Cost: logarithmic, and linear
-  /// in the waiting attempts if it was not yet written.
+  /// Removes the attempt under `ref` and returns it; nothing if none is open. Cost: logarithmic in the open
+  /// attempts, and linear in the queued ones if the attempt was not yet written.
   std::optional<OpenAttempt> remove(const std::string& ref);
-  /// Removes all, in the order of their refs.
+  /// Removes and returns all attempts, ordered by ref.
   std::vector<OpenAttempt> remove_all();
 
-  /// True if an attempt was written too long ago for the time-out in it still to hold, and has not left.
-  /// Cost: linear in the open attempts if anything is unsent, else constant.
+  /// True if an attempt is still in the outbox and was written so long ago that the time-out that it carries
+  /// exceeds the time that its client has left. Cost: linear in the open attempts if the outbox is not empty,
+  /// else constant.
   bool has_overdue(Millis now) const;
 
  private:
-  struct Waiting {  // for the connection
+  struct Waiting {  // until the connection is established
     ExecRequest request;
     Millis expires_at{0};
   };
--- a/src/hosts/open_requests.cpp
+++ b/src/hosts/open_requests.cpp
@@ -39,7 +39,7 @@
   }
 }
 
-// Nothing is known of the instances there, as after a time-out.
+// The order ends as a time-out, because the instances at the host are unknown in both cases.
 void OpenRequests::expire(const std::string& tag, OpenRequest& request) {
   loop_.cancel(request.timer);
   set_timer(tag, request, loop_.now());
@@ -56,7 +56,7 @@
 void OpenRequests::write(const Waiting& line) {
   if (line.tag.empty()) return stream_.write(line.message);
   const auto found = by_tag_.find(line.tag);
-  if (found == by_tag_.end()) return;  // it has timed out while it waited for the connection
+  if (found == by_tag_.end()) return;  // timed out while queued
   OpenRequest& request = found->second;
   if (request.kind == OpenRequest::Kind::load_order && !take_load_budget_()) {
     return expire(line.tag, request);
--- a/src/hosts/ref_history.h
+++ b/src/hosts/ref_history.h
@@ -1,4 +1,4 @@
-/// Which refs of ended attempts may still get an answer on a connection.
+/// Tracks the refs of ended attempts for which a connection may still receive an answer.
 #pragma once
 
 #include <cstdint>
@@ -15,45 +15,48 @@
 
 /// The refs of the attempts that have ended on one connection.
 ///
-/// A host knows a request by its ref alone, so a late or second answer to an ended attempt would end a
-/// further attempt under the same ref. A ref may be used again on its connection once no such answer can come
-/// any more: an answered one after the duplicate window; a cancelled one after that window too, and only when
-/// the host has answered something that was written behind the cancellation, which shows that it has read it
-/// (both directions of a connection keep their order). Refs are forgotten after 10 s, or when 2,048 newer
-/// ones are kept.
+/// A host identifies a request by its ref alone, so a late or duplicate answer to an ended attempt would be
+/// taken for the answer to a later attempt under the same ref. A ref may be reused on its connection once no
+/// such answer can arrive any more. For an answered attempt that is after the duplicate window. For a
+/// cancelled attempt it is after the duplicate window and once the host has answered a request that was
+/// written after the cancellation: each direction of a connection keeps its order, so the host has read the
+/// cancellation. A ref is forgotten after 10 s, or when 2,048 newer refs are recorded.
 ///
 /// All operations take amortised constant time.
 class RefHistory {
  public:
-  /// What an answer to no open attempt is.
+  /// Kinds of answers that belong to no open attempt: the first answer to a cancelled attempt, a further
+  /// answer to an answered attempt, and an answer to no known attempt.
   enum class LateAnswer { first, duplicate, unknown };
 
-  /// A host may send an answer twice within `duplicate_window`.
+  /// `duplicate_window` is the time within which a host may send an answer a second time.
   explicit RefHistory(Millis duplicate_window) : duplicate_window_(duplicate_window) {}
 
-  /// The attempt under `ref` has got its answer.
+  /// Records that the attempt under `ref` was answered.
   void answered(const std::string& ref, Millis now);
-  /// The attempt under `ref` was cancelled; `cancel_end` is the offset behind the cancellation's last byte.
+  /// Records that the attempt under `ref` was cancelled. `cancel_end` is the offset after the last byte of
+  /// the cancellation in the output stream.
   void cancelled(const std::string& ref, Millis now, std::uint64_t cancel_end);
-  /// A request was answered whose last byte stood before the offset `request_end`.
+  /// Records that the host has read the output stream up to the offset `request_end`, as it has answered the
+  /// request that ends there.
   void confirm_read(std::uint64_t request_end);
-  /// Classifies an answer to none of the open attempts: the first one to a cancelled attempt, a further one
-  /// to an attempt that has its answer, or one that belongs to nothing sent here.
+  /// Classifies an answer that belongs to no open attempt. The first answer to a cancelled attempt restarts
+  /// the duplicate window of its ref.
   LateAnswer record_late_answer(const std::string& ref, Millis now);
-  /// True if an attempt may go out under `ref`.
+  /// True if an attempt may be sent under `ref`.
   bool reusable(const std::string& ref, Millis now) const;
-  /// Forgets `ref`, which is about to be used again.
+  /// Forgets `ref`, which is about to be reused.
   void reuse(const std::string& ref) { entries_.erase(ref); }
 
  private:
   struct Entry {
     Millis ended{0};
-    std::uint64_t cancel_end = 0;  // 0: answered
+    std::uint64_t cancel_end = 0;  // 0 if answered
   };
   Millis duplicate_window_;
   std::uint64_t confirmed_ = 0;  // the host has read all bytes before this offset
   std::unordered_map<std::string, Entry> entries_;
-  std::deque<std::pair<Millis, std::string>> order_;  // oldest first; may name refs used again since
+  std::deque<std::pair<Millis, std::string>> order_;  // oldest first; may contain refs that were reused since
 
   void add(const std::string& ref, const Entry& entry);
   void expire(Millis now);
--- a/src/hosts/wire.cpp
+++ b/src/hosts/wire.cpp
@@ -13,7 +13,7 @@
 using core::Outcome;
 using net::field;
 
-constexpr std::uint64_t kMaxConcurrentCalls = 30;  // a greater one says no more
+constexpr std::uint64_t kMaxConcurrentCalls = 30;  // greater values carry no further information
 constexpr std::uint64_t kMaxInstances = 1000;
 constexpr std::uint64_t kMaxParsedCalls = 1000000;
 constexpr const char* kLineEnd = "\r\n";
@@ -93,7 +93,7 @@
   std::vector<double> values;
   for (const auto& name : report_fields_) {
     const auto value = net::parse_number(field(*fields, name));
-    if (!value) return std::nullopt;  // the module reads by place: a gap would shift the rest
+    if (!value) return std::nullopt;  // the module reads values by position: a gap would shift the rest
     values.push_back(*value);
   }
   return values;
--- a/src/hosts/wire.h
+++ b/src/hosts/wire.h
@@ -1,5 +1,5 @@
-/// The words of the hosts' line protocol: requests are encoded here, answers decoded into typed outcomes.
-/// Knows neither connections nor time. WIRE-pathstack.md is the source of every form.
+/// Codec of the hosts' line protocol, as WIRE-pathstack.md specifies it: encodes requests and decodes answers
+/// into typed outcomes. Stateless; uses neither connections nor clocks.
 #pragma once
 
 #include <cstdint>
@@ -14,54 +14,55 @@
 
 using core::Millis;
 
-/// What an `exec` request carries, apart from its time-out.
+/// The contents of an `exec` request, except for its time-out.
 struct ExecRequest {
-  std::string ref;     // the client's, unchanged
+  std::string ref;     // as the client sent it
   std::string fields;  // class, function and idempotency key, encoded
   std::string body;
 };
 
-/// The part of `call` that goes to a host. Cost: a copy of the body.
+/// Extracts the part of `call` that is sent to a host. Cost: a copy of the body.
 ExecRequest exec_request_of(const core::Call& call);
 
-// Each of these returns a complete request with its line ends. Cost: linear in its length.
+// Each of the functions below returns a complete request with its line ends. Cost: linear in its length.
 
-/// Runs a call. `timeout` is rounded down to whole milliseconds and must be at least 1 ms.
+/// Requests the execution of a call. `timeout` is rounded down to whole milliseconds and must be at least 1
+/// ms.
 std::string encode_exec(const ExecRequest& request, Millis timeout);
-/// Gives up the attempt under `ref`. Has no answer.
+/// Cancels the attempt under `ref`. Has no answer.
 std::string encode_cancel(const std::string& ref);
-/// Orders that a host has `instances` instances of `function` loaded.
+/// Orders a host to have `instances` instances of `function` loaded.
 std::string encode_load_order(const std::string& tag, std::uint64_t function, int instances);
-/// Lets a host unload `function`. Has no answer.
+/// Allows a host to unload `function`. Has no answer.
 std::string encode_release(std::uint64_t function);
-/// Asks for a load report.
+/// Requests a load report.
 std::string encode_probe(const std::string& tag);
-/// Asks whether the host runs. It answers beside its queue.
+/// Checks whether the host process runs. The host answers without queueing the request.
 std::string encode_health_check(const std::string& tag);
 
-/// An answer of a host, decoded.
+/// A decoded answer of a host.
 struct Answer {
   std::string id;  // the ref of an attempt, or the tag of another request
   core::Outcome outcome = core::Outcome::error;
-  bool probe_only = false;          // its word belongs to probes and health checks alone
-  int concurrent_calls = 0;         // calls of the same function that the host holds
-  int instances = 0;                // of the function that a load order named
-  core::Report report;              // nothing unless complete
-  std::optional<std::string> body;  // absent: no length was given
+  bool probe_only = false;          // its word is valid for probes and health checks only
+  int concurrent_calls = 0;         // calls of this function at the host
+  int instances = 0;                // of the function of a load order
+  core::Report report;              // absent unless complete
+  std::optional<std::string> body;  // absent if the answer states no length
 
-  /// False if it can't be the answer to an attempt. One that lost its end would be served as an empty body,
-  /// which no host has given.
+  /// True if this can be the answer to an attempt. An `ok` without a body cannot: it lost its end, and would
+  /// be served as an empty body that no host sent.
   bool fits_attempt() const { return !probe_only && (outcome != core::Outcome::ok || body.has_value()); }
 };
 
-/// Decodes answers. Holds no state of a connection; every call is independent.
+/// Decodes answers. Keeps no state between calls.
 class AnswerDecoder {
  public:
-  /// `report_fields` are the names of a load report's values in the order in which the module wants them.
+  /// `report_fields` names the values of a load report in the order that the decision module expects.
   explicit AnswerDecoder(std::vector<std::string> report_fields) : report_fields_(std::move(report_fields)) {}
 
-  /// Nothing if the fields don't parse, the id has other characters than digits and lower-case letters, or
-  /// the word is unknown. Cost: linear in the length of the fields; the body is moved.
+  /// Returns nothing if the fields are malformed, the id has characters other than digits and lower-case
+  /// letters, or the word is unknown. Cost: linear in the length of the fields; the body is moved.
   std::optional<Answer> decode(Reply&& reply) const;
 
  private:
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -1,4 +1,4 @@
-// Bounded memory for unwritten bytes: blocks of one size from a pool, and the queue of each connection.
+/// Bounded memory for unwritten bytes: a pool of fixed-size blocks, and the output queue of each connection.
 #pragma once
 
 #include <array>
@@ -13,14 +13,14 @@
 
 class Outbox;
 
-/// The memory in which bytes wait to be written, shared by all connections of the program and bounded.
+/// The bounded memory for unwritten bytes, shared by all connections of the program.
 ///
-/// Once all blocks are in use, the outbox that holds the most of them loses its own to whoever asks with
-/// fewer: a peer that reads nothing must not end the connection that happens to write next. Not thread-safe;
-/// outlives all its outboxes.
+/// If all blocks are in use, the outbox that holds the most blocks is discarded in favour of a requester that
+/// holds fewer: a peer that does not read must not end the connection that happens to write next. Not
+/// thread-safe; must outlive all its outboxes.
 class BufferPool {
  public:
-  /// Bytes of a block.
+  /// Size of a block in bytes.
   static constexpr std::size_t kBlockSize = std::size_t{16} * 1024;
   using Block = std::array<char, kBlockSize>;
 
@@ -29,14 +29,14 @@
     BufferPool* pool;
     void operator()(Block* block) const { pool->free_.emplace_back(block); }
   };
-  /// The right to use a block, which goes back to the pool with it.
+  /// Owns a block; returns it to the pool on destruction.
   using Lease = std::unique_ptr<Block, ReturnToPool>;
 
   /// Blocks are allocated on demand, at most `max_blocks`, and kept for reuse.
   explicit BufferPool(std::size_t max_blocks) : max_blocks_(max_blocks) {}
 
-  /// A block for `requester`; empty if all are in use and `requester` holds as many as anyone. Cost: O(1), or
-  /// the number of outboxes when all blocks are in use.
+  /// Allocates a block for `requester`; empty if all blocks are in use and no other outbox holds more blocks
+  /// than `requester`. Cost: O(1), or linear in the number of outboxes if all blocks are in use.
   Lease take(const Outbox& requester);
 
   /// The number of blocks in use.
@@ -53,28 +53,28 @@
   bool discard_largest(const Outbox& requester);
 };
 
-/// The bytes that one connection has yet to write, in order. Owned by its stream; not thread-safe.
+/// The queue of unwritten bytes of one connection. Owned by its stream; not thread-safe.
 class Outbox {
  public:
-  /// What one call of `write_to` came to.
+  /// The result of `write_to`.
   enum class WriteStatus {
-    complete,  // nothing is left to write
-    partial,   // the kernel takes no more for now
+    complete,  // all bytes were written
+    partial,   // the send buffer of the socket is full
     failed     // the connection is broken; errno has the reason
   };
 
-  /// `discarded` is called when the pool has taken this outbox's blocks for another one: the stream has a gap
-  /// from then on and has to end. It must not write.
+  /// `discarded` is called after the pool has taken the blocks of this outbox for another one. The stream
+  /// then has a gap and must end. `discarded` must not write.
   explicit Outbox(BufferPool& pool, std::function<void()> discarded = {});
   ~Outbox();
   Outbox(const Outbox&) = delete;
   Outbox& operator=(const Outbox&) = delete;
 
-  /// False if no block was to be had: a part may be missing, so the stream has to end. Cost: linear in the
-  /// number of bytes.
+  /// Returns false if no block is available. A part of `bytes` may be missing then, so the stream must end.
+  /// Cost: linear in the number of bytes.
   bool append(std::string_view bytes);
 
-  /// Passes bytes to the socket until it takes no more.
+  /// Writes to the socket until the outbox is empty or the socket accepts no more bytes.
   WriteStatus write_to(int fd);
 
   bool empty() const { return appended_ == written_; }
@@ -93,8 +93,8 @@
   BufferPool& pool_;
   std::function<void()> discarded_;
   std::deque<BufferPool::Lease> blocks_;
-  std::size_t head_ = 0;  // the first unwritten byte, in the first block
-  std::size_t tail_ = 0;  // the end of what was appended, in the last block
+  std::size_t head_ = 0;  // offset of the first unwritten byte in the first block
+  std::size_t tail_ = 0;  // offset after the last appended byte in the last block
   std::uint64_t appended_ = 0, written_ = 0;
 
   void discard();
--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -6,7 +6,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr std::size_t kMaxDecimalDigits = 18;  // any more could overflow 64 bits
+constexpr std::size_t kMaxDecimalDigits = 18;  // more digits could overflow 64 bits
 constexpr std::size_t kHexDigits = 16;
 
 std::optional<std::uint64_t> hex_digit(char c) {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kMaxWait{1000};
-constexpr Millis kFailedPollPause{10};  // a poll(2) that fails returns at once, and would spin
+constexpr Millis kFailedPollPause{10};  // a failing poll(2) returns immediately, and the loop would spin
 
 template <typename Clock>
 Millis time_of() {
@@ -95,8 +95,8 @@
   return ready_count;
 }
 
-// A handler may end others, and what they close may be opened anew: such an entry has another serial, and the
-// events that were polled before are not its own.
+// A handler may end other handlers, and the descriptors that they close may be reused. Events that were
+// polled for the former user of a descriptor have a different serial and are not dispatched to the new one.
 void Loop::dispatch_events() {
   for (std::size_t i = 0; i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
@@ -106,7 +106,7 @@
   }
 }
 
-// One look at the clock: a timer that sets another for now must not keep the turn from ending.
+// Reads the clock once, so that a timer that sets another timer for now cannot keep the turn from ending.
 void Loop::run_due_timers() {
   const Millis until = now();
   while (!timers_.empty() && timers_.begin()->first.due <= until) {
@@ -117,7 +117,7 @@
 }
 
 void Loop::flush() {
-  // By index: a flush may queue more, and an ended handler leaves a gap.
+  // Iterates by index: a flush may queue further flushes, and an unwatched handler leaves a null entry.
   std::size_t next = 0;
   while (next < pending_flushes_.size()) {
     Handler* handler = std::exchange(pending_flushes_[next++], nullptr);
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,7 +15,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kListenBacklog = 512;  // connections that the kernel accepts ahead of the program
+constexpr int kListenBacklog = 512;  // connections that the kernel completes before the program accepts them
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
@@ -32,7 +32,8 @@
   return {found, &freeaddrinfo};
 }
 
-// What connect(2) reports at once of a peer or of the way to it; everything else lies at this machine.
+// Classifies an immediate error of connect(2): the listed errors are those of the peer or of the path to it,
+// all others are local.
 ConnectFault connect_fault_of(int error) {
   switch (error) {
     case ECONNREFUSED:
@@ -43,7 +44,8 @@
   }
 }
 
-// Answers are small and written once a turn: they must not wait for the acknowledgement of the last one.
+// Answers are small and written once per turn; Nagle's algorithm would delay each until the previous one is
+// acknowledged.
 void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -51,8 +53,8 @@
 
 std::error_code last_error() { return {errno, std::generic_category()}; }
 
-// accept(2) also passes on network errors that were already pending on the new connection. An error that is
-// not known counts as the listener's, as a retry at once could spin.
+// accept(2) also reports network errors that are already pending on the new connection. An unknown error is
+// attributed to the listener, as an immediate retry could spin.
 AcceptStatus accept_failure(int error) {
   switch (error) {
     case EAGAIN: return AcceptStatus::none_waiting;
@@ -115,7 +117,7 @@
   if (!socket) return {Socket(), ConnectFault::local};
   disable_nagle(socket.fd());
   const int result = system_calls().connect(socket.fd(), resolved->ai_addr, resolved->ai_addrlen);
-  // A connect that a signal interrupts goes on, as a non-blocking one does.
+  // A connect that is interrupted by a signal continues asynchronously, like a non-blocking one.
   const bool in_progress = result == 0 || errno == EINPROGRESS || errno == EINTR;
   if (!in_progress) return {Socket(), connect_fault_of(errno)};
   return {std::move(socket), ConnectFault::none};
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -8,7 +8,7 @@
 namespace pathstack::net {
 namespace {
 
-constexpr int kReadsPerTurn = 8;  // one busy peer must not keep the others waiting
+constexpr int kReadsPerTurn = 8;  // a busy peer must not starve the others
 
 StreamEnd end_cause_of(int error) {
   const bool by_peer = error == ECONNRESET || error == EPIPE || error == ECONNREFUSED;
@@ -39,7 +39,7 @@
 
 void Stream::write(std::string_view bytes) {
   if (ending()) return;
-  // A stream with a gap cannot be understood: it ends.
+  // The stream would have a gap that the peer cannot parse.
   if (!outbox_.append(bytes)) return end_later();
   if (!connecting()) loop_.flush_later(*this);
 }
@@ -62,8 +62,8 @@
   if (end_requested_) end();
 }
 
-// Closing with unread input sends a reset, which discards what the peer has not received yet. So sending is
-// shut down first, and input is read until the peer has closed.
+// Closing a socket with unread input sends a reset, which discards bytes that the peer has not received yet.
+// So sending is shut down first, and input is read until the peer has closed.
 void Stream::linger() {
   const bool nothing_to_lose = outbox_.appended() == 0;
   if (nothing_to_lose || system_calls().shutdown(socket_.fd(), SHUT_WR) != 0) {
@@ -95,7 +95,7 @@
 
 bool Stream::has_input() const {
   pollfd descriptor{socket_.fd(), POLLIN, 0};
-  // A failed call tells nothing, so input has to be expected.
+  // After a failed poll the state is unknown, so input is assumed.
   return system_calls().poll(&descriptor, 1, 0) != 0;
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-// A TCP connection as a user of the event loop.
+/// A TCP connection that is driven by the event loop.
 #pragma once
 
 #include <string_view>
@@ -8,61 +8,61 @@
 
 namespace pathstack::net {
 
-/// What ended a stream; the first cause counts.
+/// What ended a stream. Only the first cause is recorded.
 enum class StreamEnd {
-  local,            // the owner's decision, or not ended
-  closed_by_peer,   // in order
-  reset_by_peer,    // the peer's process or kernel gave the connection up
-  network_failure,  // any other error: the peer may be well
+  local,            // the owner ended the stream, or it has not ended
+  closed_by_peer,   // orderly shutdown
+  reset_by_peer,    // the peer's process or kernel reset the connection
+  network_failure,  // any other error; the peer may be healthy
 };
 
-/// Owns a socket, its unwritten bytes and its place in the loop, and gives all three back at once when it
-/// ends. Derived classes are notified of what happens through the protected virtual functions; whoever owns
-/// them keeps them alive to the end of the turn in which they end (`Loop::defer_destruction`), as the loop
-/// may still be inside one of their functions. Not thread-safe; everything happens on the loop's thread.
+/// Owns a socket, its unwritten bytes and its registration in the loop, and releases all three together when
+/// it ends. Derived classes are notified through the protected virtual functions. The owner must keep a
+/// stream alive until the end of the turn in which it ends (`Loop::defer_destruction`), as the loop may still
+/// be inside one of its functions. Not thread-safe; used on the thread of the loop only.
 class Stream : public Handler {
  public:
-  /// How long a stream waits for the close of a peer after it has shut down sending.
+  /// How long a stream waits for the peer to close after it has shut down sending.
   static constexpr Millis kLingerTimeout{1000};
-  /// How many bytes of input a stream discards meanwhile.
+  /// How many bytes of input a stream discards in that time.
   static constexpr std::size_t kLingerMaxBytes = std::size_t{1} << 20;
 
-  /// `connecting`: the connection was begun and is not made yet. An empty socket gives a stream that has
-  /// ended and that notifies nobody.
+  /// `connecting`: the connect was started and is not complete. With an empty socket the stream has already
+  /// ended, and sends no notifications.
   Stream(Loop& loop, BufferPool& pool, Socket socket, bool connecting);
   ~Stream() override;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  /// Queues bytes, which leave at the end of the turn. No effect once the stream is ending; ends the stream
-  /// if no buffer is to be had.
+  /// Queues bytes to be sent at the end of the turn. No effect if the stream is ending. Ends the stream if no
+  /// buffer is available.
   void write(std::string_view bytes);
 
-  /// Writes what the kernel takes now; false if some bytes must wait or the stream ends.
+  /// Writes as many bytes as the kernel accepts now. Returns false if bytes remain or the stream is
+  /// connecting or ending.
   bool flush_now();
 
-  /// Ends the stream at the end of the turn, for callers that `ended` must not interrupt.
+  /// Ends the stream at the end of the turn, for callers inside which `ended` must not be called.
   void end_later();
 
-  /// Ends it from the loop, without a reset that could overtake what was written: hands all bytes to the
-  /// kernel, shuts down sending, and discards input until the peer closes. The last step is bounded by
-  /// `kLingerTimeout` and `kLingerMaxBytes`, the first one by the caller.
+  /// Ends the stream gracefully, without a reset that could discard written bytes: writes all bytes, shuts
+  /// down sending, and discards input until the peer closes. The last step is bounded by `kLingerTimeout` and
+  /// `kLingerMaxBytes`; the caller must bound the first one.
   void end_when_written();
 
-  /// Takes `end_when_written` back; no effect once sending is shut down.
+  /// Revokes `end_when_written`. No effect once sending is shut down.
   void keep_open() { ends_when_written_ = false; }
 
-  /// From now on input is discarded instead of passed to `received`. A close of the peer still ends the
-  /// stream.
+  /// Discards further input instead of passing it to `received`. A close by the peer still ends the stream.
   void stop_receiving() { discards_input_ = true; }
   bool discards_input() const { return discards_input_; }
 
-  /// True while there is a connection, also while it is ending.
+  /// True while the connection is established, also while it is lingering.
   bool open() const { return phase_ == Phase::established || phase_ == Phase::lingering; }
   bool connecting() const { return phase_ == Phase::connecting; }
-  /// True if nothing that is written now would leave.
+  /// True if bytes that are written now would not be sent.
   bool ending() const { return end_requested_ || phase_ == Phase::lingering || phase_ == Phase::closed; }
-  /// True if poll(2) reports something: bytes that were not read yet, a close or an error. One system call.
+  /// True if poll(2) reports unread bytes, a close or an error, or fails. Cost: one system call.
   bool has_input() const;
   const Outbox& outbox() const { return outbox_; }
   StreamEnd end_cause() const { return end_cause_; }
@@ -71,15 +71,16 @@
   void flush() final;
 
  protected:
-  /// The connection that was begun is made.
+  /// Called when the connect has completed.
   virtual void connected() {}
-  /// `bytes` are valid during the call alone.
+  /// Called with input; `bytes` is valid only during the call.
   virtual void received(std::string_view bytes) = 0;
-  /// Called once; the socket is closed, and nothing more comes.
+  /// Called once, after the socket was closed. No further notification follows.
   virtual void ended() = 0;
-  /// The peer read so little that its unwritten bytes were given up for other connections; the stream ends.
+  /// Called when the unwritten bytes of the stream were discarded in favour of other connections, as the peer
+  /// read too slowly. The stream ends.
   virtual void backlog_discarded() {}
-  /// Closes the socket and calls `ended` at once; no effect on a stream that has ended.
+  /// Closes the socket and calls `ended` immediately. No effect on a stream that has ended.
   void end();
   Loop& loop() const { return loop_; }
 
@@ -91,12 +92,12 @@
     connecting,
     established,
     lingering,  // sending is shut down; input is discarded until the peer closes
-    closed      // there is no socket
+    closed      // no socket
   };
 
   Phase phase_;
-  bool end_requested_ = false;      // closed at the end of this turn, in whatever phase
-  bool ends_when_written_ = false;  // lingers once all bytes are written
+  bool end_requested_ = false;      // close at the end of this turn, in any phase
+  bool ends_when_written_ = false;  // linger once all bytes are written
   bool discards_input_ = false;
   std::size_t discarded_after_shutdown_ = 0;
   Loop::TimerId linger_timer_{};
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -1,4 +1,4 @@
-// The system calls of the network code, behind an interface that a test can replace by one that fails.
+/// The system calls of the network code, behind an interface that tests replace to inject failures.
 #pragma once
 
 #include <poll.h>
@@ -10,8 +10,8 @@
 
 namespace pathstack::net {
 
-/// The calls of the kernel that sockets and the event loop make. The methods have the arguments, results and
-/// `errno` of the system calls whose names they bear. The default implementation passes them to the kernel.
+/// The system calls that sockets and the event loop make. Each method has the arguments, result and `errno`
+/// of its system call. The default implementation calls the kernel.
 class SystemCalls {
  public:
   virtual ~SystemCalls() = default;
@@ -28,13 +28,14 @@
   virtual int nanosleep(const timespec* duration, timespec* remaining);
 };
 
-/// The calls in use: the kernel's, unless a `ScopedSystemCalls` is alive.
+/// The implementation in use: the kernel, unless a `ScopedSystemCalls` is alive.
 SystemCalls& system_calls();
 
-/// Stops the thread for `duration`; a signal ends it sooner. For retries of calls that would else spin.
+/// Suspends the thread for `duration`, or until a signal arrives. Keeps retries of failing calls from
+/// spinning.
 void pause_for(std::chrono::nanoseconds duration);
 
-/// Replaces the calls in use for its lifetime; for tests. Not thread-safe, may be nested.
+/// Replaces the implementation in use for its lifetime. For tests; not thread-safe, may be nested.
 class ScopedSystemCalls {
  public:
   explicit ScopedSystemCalls(SystemCalls& calls);
